--- a/internal/steer/bench_test.go
+++ b/internal/steer/bench_test.go
@@ -8,8 +8,8 @@
 	"dandelionsail.example/dandelionsail/internal/steer"
 )
 
-// crowd returns an instance before so many engines, each of which writes eight streams of another instance.
-func crowd(engines int) *instance {
+// newBusyInstance returns an instance whose engines each serve eight streams of another instance.
+func newBusyInstance(engines int) *instance {
 	in := newInstance(nil, "one", engines)
 	in.reduce(steer.Peered{Instances: []steer.Instance{{Name: "two"}}})
 	nt := steer.Note{From: "two", Run: 1}
@@ -34,7 +34,7 @@
 	}
 	for name, tc := range cases {
 		b.Run(name, func(b *testing.B) {
-			in := crowd(tc.engines)
+			in := newBusyInstance(tc.engines)
 			route := &short
 			if tc.prompt > 100_000 {
 				route = &long
@@ -50,7 +50,7 @@
 }
 
 func BenchmarkProgress(b *testing.B) {
-	in := crowd(64)
+	in := newBusyInstance(64)
 	sent := in.arrive(&short, 5000)
 	var id steer.RequestID
 	for _, eff := range sent {
--- a/internal/steer/loss.go
+++ b/internal/steer/cost.go
@@ -7,13 +7,14 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// What a choice costs, in the worth of the answers that it would make late.
+// The cost of a placement: the value of the answers that it is expected to make late.
 
-// longestBacklog bounds what one engine counts in the average, in seconds.
-const longestBacklog = 4.0
+// maxBacklog caps the contribution of one engine to the mean backlog, in seconds.
+const maxBacklog = 4.0
 
-// meanBacklog is the reading that waits at the average engine, in seconds. What waits at the instances does not count: the
-// longest prompts there would make engine time so dear that nothing was sent at all.
+// meanBacklog returns the mean time in seconds that the usable candidates need to read the prompts sent to them. Prompts
+// that still wait at the instances are left out: the longest ones would raise the price of engine time until nothing was
+// sent at all.
 func (st *State) meanBacklog(svc *service) float64 {
 	if svc.engine == nil {
 		return 0
@@ -24,24 +25,24 @@
 		if rep.usable(st.now) {
 			count++
 			out := rep.outlook(svc.engine, &st.tune, st.now)
-			total += min(out.backlog()/1000, longestBacklog)
+			total += min(out.backlog()/1000, maxBacklog)
 		}
 	}
 	return total / float64(max(1, count))
 }
 
-// lateness is the request's own worth lost if its answer begins in so many ms.
+// lateness returns the expected loss of the request's own value if its answer is estimated to begin in first ms.
 func (st *State) lateness(req *request, first float64) float64 {
 	return st.tune.lateness(req.value, ms(req.goal.Sub(st.now)), first)
 }
 
-// lateness is the worth lost of an answer that begins in so many ms where it has so many left; later is worse even among
-// late ones, since callers give up.
+// lateness returns the expected loss of an answer of the given value that is estimated to begin in first ms, with left ms
+// until its goal. The loss keeps growing after the goal, since callers give up.
 func (tune *Tuning) lateness(value, left, first float64) float64 {
 	return tune.LateShare * value * (tune.risk(first, left) + min(1, max(0, first-left)/tune.GiveUp))
 }
 
-// risk is the chance that what is reckoned to take so many ms takes longer than is left.
+// risk returns the probability that what is estimated to take estimate ms takes longer than left ms.
 func (tune *Tuning) risk(estimate, left float64) float64 {
 	if estimate <= tune.RiskFrom*left {
 		return 0
@@ -52,7 +53,7 @@
 	return math.Pow((estimate/left-tune.RiskFrom)/(tune.RiskTo-tune.RiskFrom), tune.RiskPower)
 }
 
-// pauseLoss is the worth that a stream loses by a pause of so many ms: it is late, or its caller leaves.
+// pauseLoss returns the loss of a stream's value by a pause in ms: the stream counts as late, or its caller leaves.
 func (tune *Tuning) pauseLoss(wk *work, pause float64) float64 {
 	switch {
 	case wk.gap <= 0 || pause <= tune.GapSafety*ms(wk.gap):
@@ -63,35 +64,35 @@
 	return wk.value * tune.LeaveCost
 }
 
-// ownPauses is the worth that the request loses itself on an engine whose every pass is longer than its caller may wait.
-// Load pattern: an engine turns several times slower than it declares and goes on answering.
+// ownPauses returns the loss of the request's own value if every pass of the engine is longer than the pause that its caller
+// was promised. It keeps streams off an engine that has become several times slower than declared but still answers.
 func (st *State) ownPauses(eng *decl.Engine, req *request, out *outlook) float64 {
 	wk := work{gap: req.gap, leaves: req.Patience.Sub(req.at), value: req.value}
 	return st.tune.pauseLoss(&wk, out.slow*float64(eng.Stride)*out.step)
 }
 
-// harm is the worth that the callers of the replica's other requests lose if it reads so much more: streams pause for as
-// long as a pass lasts, and what waits for the same pass begins at its end.
+// harm returns the value that the replica's other requests lose additionally if it reads this part too. The reading
+// lengthens the next pass: streams pause until the pass ends, and answers that wait for the same pass begin at its end.
 func (st *State) harm(rep *replica, out *outlook, part decl.Reading) float64 {
-	before, after := out.pause(decl.Reading{}), out.pause(part)
-	first, later := out.first(decl.Reading{}), out.first(part)
+	pauseBefore, pauseAfter := out.pause(decl.Reading{}), out.pause(part)
+	firstBefore, firstAfter := out.first(decl.Reading{}), out.first(part)
 	var lost float64
 	for i := range rep.works {
 		wk := &rep.works[i]
 		switch {
 		case !wk.first:
 		case wk.begun || wk.stage != stageWaits:
-			lost += st.tune.pauseLoss(wk, after) - st.tune.pauseLoss(wk, before)
+			lost += st.tune.pauseLoss(wk, pauseAfter) - st.tune.pauseLoss(wk, pauseBefore)
 		default:
 			left := ms(wk.goal.Sub(st.now))
-			lost += st.tune.lateness(wk.value, left, later) - st.tune.lateness(wk.value, left, first)
+			lost += st.tune.lateness(wk.value, left, firstAfter) - st.tune.lateness(wk.value, left, firstBefore)
 		}
 	}
 	return lost
 }
 
-// spread prices a stream that may not pause on an engine with few streams like it. It fills one engine after the other,
-// so that the others stay free for long reads.
+// spread returns the cost of a stream with a short gap on an engine that has few such streams. It concentrates them on few
+// engines, so that the other engines stay free for long prompts.
 func (tune *Tuning) spread(rep *replica, req *request) float64 {
 	alike := 0
 	for i := range rep.works {
--- a/internal/steer/effect.go
+++ b/internal/steer/effect.go
@@ -2,34 +2,36 @@
 
 import "time"
 
-// Effect is one thing the shell is told to do.
+// Effect is an action for the shell to carry out.
 type Effect interface{ isEffect() }
 
-// Send starts an attempt. An AttemptEnded follows, always.
+// Send starts an attempt. Exactly one AttemptEnded follows.
 type Send struct {
 	ID      RequestID
 	Attempt int
 	Replica Replica
-	// Helpers read parts of the prompt, none for most requests.
+	// Helpers read parts of the prompt. Most requests have none.
 	Helpers []Helper
-	// Priority is what the engine is told, 0 the most urgent.
+	// Priority is passed on to the engine; 0 is the most urgent.
 	Priority int
-	// Fresh asks for a connection of its own: a kept one may just have been closed by the replica, and the request
-	// could not be sent again because it may have run.
+	// Fresh requests a new connection. The replica may just have closed an idle keep-alive connection, and a request that
+	// breaks on it could not be retried because it may have run.
 	Fresh    bool
 	Deadline time.Time
-	// FirstBy is the longest time until the answer begins, GapBy between two parts of it.
-	FirstBy, GapBy time.Duration
+	// FirstBy is the timeout for the first byte of the answer.
+	FirstBy time.Duration
+	// GapBy is the timeout between two parts of the answer.
+	GapBy time.Duration
 }
 
-// Helper is a replica that reads part of a prompt.
+// Helper is a replica that reads a part of the prompt for the replica that answers.
 type Helper struct {
 	Replica
-	// Tokens is how much memory it sets aside for the request, 0 for none.
+	// Tokens is the memory that the helper reserves for the request, 0 for none.
 	Tokens int64
 }
 
-// Abort ends the attempt under way.
+// Abort ends a running attempt.
 type Abort struct {
 	ID      RequestID
 	Attempt int
@@ -38,9 +40,9 @@
 // Finish ends a request. Exactly one follows each Arrived.
 type Finish struct {
 	ID RequestID
-	// Refusal is nil when the caller has its whole answer, has left, or gets the answer of the last attempt as it came.
+	// Refusal is nil if the caller has its complete answer, has disconnected, or gets the last replica's answer unchanged.
 	Refusal *Refusal
-	// Deliver hands the caller the failure that a replica answered.
+	// Deliver passes a replica's error answer on to the caller.
 	Deliver bool
 }
 
@@ -49,67 +51,84 @@
 
 // The reasons.
 const (
-	ReasonBusy       Reason = "Overloaded"
-	ReasonDeadline   Reason = "DeadlineExceeded"
-	ReasonUpstream   Reason = "UpstreamFailed"
+	// ReasonBusy means that no replica has capacity in time.
+	ReasonBusy Reason = "Overloaded"
+	// ReasonDeadline means that the request waited too long or its deadline has passed.
+	ReasonDeadline Reason = "DeadlineExceeded"
+	// ReasonUpstream means that an attempt failed and must not be repeated.
+	ReasonUpstream Reason = "UpstreamFailed"
+	// ReasonQuarantine means that replicas died while running the same content.
 	ReasonQuarantine Reason = "Quarantined"
-	ReasonDraining   Reason = "Draining"
-	ReasonLimited    Reason = "RateLimited"
+	// ReasonDraining means that the instance is shutting down.
+	ReasonDraining Reason = "Draining"
+	// ReasonLimited means that the rate limits of the replicas leave no capacity in time.
+	ReasonLimited Reason = "RateLimited"
 )
 
-// Refusal is what the caller is told instead of an answer.
+// Refusal is the error that the caller gets instead of an answer.
 type Refusal struct {
 	Reason Reason
-	// NotRun is a promise: no replica ran any of it, nor ever will.
+	// NotRun guarantees that no replica has run any part of the request or will run it.
 	NotRun bool
-	// RetryAfter tells when a new try makes sense; 0 gives no advice.
+	// RetryAfter is how long the caller should wait before it retries; 0 gives no advice.
 	RetryAfter time.Duration
 }
 
-// Tell sends a note to other instances. It may be lost.
+// Tell sends a note to other instances. The note may be lost.
 type Tell struct {
 	Note Note
-	// To names them, nil for all.
+	// To names the receivers, nil for all other instances.
 	To []string
 }
 
-// Survey asks engines for their load. A Surveyed follows for each that answers.
+// Survey queries engines for their load. A Surveyed follows for each engine that answers.
 type Survey struct{ Replicas []Replica }
 
-// Wake asks for a Ticked after the time.
+// Wake requests a Ticked after the given time.
 type Wake struct{ After time.Duration }
 
-// Line is a decision for the log.
+// Line is a log line about a decision.
 type Line struct {
+	// Message also names the counter of such decisions, so a change of it renames a metric.
 	Message string
 	Request string
 	Replica string
 	Reason  Reason
-	// Age is how long the request has been here, Estimate what was reckoned for the decision.
-	Age, Estimate time.Duration
-	Attempt       int
+	// Age is the time since the request arrived or since the reported fact was observed.
+	Age time.Duration
+	// Estimate is the estimated time on which the decision is based.
+	Estimate time.Duration
+	// Attempt is the number of the attempt, or of the replica's failures or deaths.
+	Attempt int
 	// Helpers names the replicas that read parts of the prompt.
 	Helpers []string
-	// Tokens is the prompt's length.
+	// Tokens is the length of the prompt.
 	Tokens int64
-	// Times is how many times longer than declared a replica takes.
+	// Times is the slowdown of a replica relative to its declared performance.
 	Times float64
-	// PerS is a rate limit in requests a second.
+	// PerS is a rate limit in requests per second.
 	PerS float64
-	// End is set on the line that ends a request.
+	// End is set on the last line of a request that was admitted.
 	End *End
 }
 
-// End is what a request came to, from which its worth and the cause of what was lost of it can be told.
+// End is the outcome of a request, from which the utility that it lost and the cause of the loss can be derived.
 type End struct {
 	Route string
-	// Value is what an answer in time would have been worth, Back tells that the caller was here before.
+	// Value is the utility that an answer in time would have had.
 	Value float64
-	Back  bool
-	// Goal is the age at which the answer should have begun, First that at which it did, 0 if it did not.
-	Goal, First time.Duration
-	// Gap is the longest pause that the caller was promised, Pause the longest that there was, which ended at PauseAt.
-	Gap, Pause, PauseAt time.Duration
+	// Back reports whether the caller seems to have tried before.
+	Back bool
+	// Goal is the age at which the answer should have begun.
+	Goal time.Duration
+	// First is the age at which the answer began, 0 if it did not.
+	First time.Duration
+	// Gap is the longest pause within a stream that the route promises.
+	Gap time.Duration
+	// Pause is the longest pause that occurred.
+	Pause time.Duration
+	// PauseAt is the age at which the longest pause ended.
+	PauseAt time.Duration
 }
 
 func (Send) isEffect()   {}
--- a/internal/steer/event.go
+++ b/internal/steer/event.go
@@ -1,6 +1,6 @@
-// Package steer decides what becomes of requests that are passed on to upstreams as their callers sent them: which
-// replicas take a request, when it waits, when it is sent again and when it is refused. It is a reducer: events and the
-// time in, effects out; it reads no clock and does no I/O.
+// Package steer schedules requests that are proxied to upstreams unchanged: it decides which replicas take a request, when
+// the request waits, when it is retried and when it is refused. It is a reducer that turns events and the current time into
+// effects; it reads no clock and does no I/O.
 package steer
 
 import (
@@ -9,49 +9,51 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Event is one input of the reducer.
+// Event is an input of the reducer.
 type Event interface{ isEvent() }
 
-// RequestID names a request within one run of one instance.
+// RequestID identifies a request within one run of one instance.
 type RequestID uint64
 
-// Digest tells requests of the same content apart from others: organisation, method, path and body.
+// Digest is a hash of a request's content: organisation, method, path and body.
 type Digest uint64
 
-// Arrived tells that a caller's request was read whole and may be served.
+// Arrived reports that a caller's request was read completely and may be served.
 type Arrived struct {
 	ID    RequestID
 	Route *decl.Route
-	// Name is the request's name towards its caller, for the log.
+	// Name is the request ID that the caller sees, for the log.
 	Name         string
 	Organisation string
-	// Priority is the organisation's or else the route's, 0 the most urgent.
+	// Priority is that of the organisation or else of the route; 0 is the most urgent.
 	Priority int
-	// Prompt and Answer are in tokens, the answer's at most; 0 for plain services.
-	Prompt, Answer int64
-	// Deadline is when the caller must have its end.
+	// Prompt is the length of the prompt in tokens, 0 for plain services.
+	Prompt int64
+	// Answer is the longest possible answer in tokens, 0 for plain services.
+	Answer int64
+	// Deadline is when the request must have ended for its caller.
 	Deadline time.Time
-	// Patience is when the caller gives up if no answer has begun.
+	// Patience is when the caller is expected to leave if no answer has begun.
 	Patience time.Time
-	// Given is the time that the caller said it has left, 0 if it did not say.
+	// Given is the remaining time that the caller announced, 0 if it announced none.
 	Given  time.Duration
 	Digest Digest
 }
 
-// CallerGone tells that the caller closed its connection.
+// CallerGone reports that the caller closed its connection.
 type CallerGone struct{ ID RequestID }
 
-// Began tells that the first byte of an answer came.
+// Began reports the first byte of an answer.
 type Began struct {
 	ID      RequestID
 	Attempt int
 }
 
-// Progressed tells that an event of a stream came that had begun before.
+// Progressed reports an event of a stream after the first one.
 type Progressed struct {
 	ID      RequestID
 	Attempt int
-	// Pause is the time since the event before.
+	// Pause is the time since the previous event.
 	Pause time.Duration
 }
 
@@ -60,110 +62,120 @@
 
 // The results of an attempt.
 const (
-	// ResultDone is a whole answer of success.
+	// ResultDone is a complete successful answer.
 	ResultDone Result = iota + 1
-	// ResultAnswered is a whole answer of failure by the replica itself, which may have run the request.
+	// ResultAnswered is a complete error answer from the replica itself, which may have run the request.
 	ResultAnswered
-	// ResultNotSent is a failure before any byte of the request could have left.
+	// ResultNotSent is a failure before any byte of the request can have been sent.
 	ResultNotSent
-	// ResultNotRun is a refusal by a replica that says it ran nothing.
+	// ResultNotRun is a refusal by a replica that states that it ran nothing.
 	ResultNotRun
-	// ResultMisdirected is such a refusal by another replica than the one meant, which has its address now.
+	// ResultMisdirected is such a refusal by a different replica that now has the address of the intended one.
 	ResultMisdirected
-	// ResultBroken is an answer that did not come or not whole.
+	// ResultBroken is an answer that is missing or incomplete.
 	ResultBroken
-	// ResultSilent is an answer that made no progress in its time.
+	// ResultSilent is an answer that made no progress within its timeout.
 	ResultSilent
-	// ResultExpired is an attempt that the request's deadline ended.
+	// ResultExpired is an attempt that was ended by the request's deadline.
 	ResultExpired
-	// ResultCancelled is an attempt that the caller's leaving ended.
+	// ResultCancelled is an attempt that was cancelled: the caller disconnected or an Abort ended it.
 	ResultCancelled
 )
 
-// AttemptEnded tells how one attempt ended. Each effect.Send brings one, always.
+// AttemptEnded reports how an attempt ended. Exactly one follows each Send.
 type AttemptEnded struct {
 	ID      RequestID
 	Attempt int
 	Result  Result
-	// Begun tells that some of an answer is with the caller, so that nothing but its rest can follow.
+	// Begun reports whether the caller already has the start of an answer, so that only the rest of it can follow.
 	Begun bool
-	// Died tells that the replica took no new connection after it broke off.
+	// Died reports whether the replica refused a new connection after it broke off the answer.
 	Died bool
-	// Pause is the longest time between two events, which ended at PauseAt.
-	Pause   time.Duration
+	// Pause is the longest time between two events of the stream.
+	Pause time.Duration
+	// PauseAt is when the longest pause ended.
 	PauseAt time.Time
-	// Status is the replica's, 0 if none came.
+	// Status is the HTTP status of the replica's answer, 0 if there was none.
 	Status int
-	// At names the replica at fault where another than the one asked was, empty if unknown.
+	// At is the name or address of the replica at fault if that is not the one asked, empty if unknown.
 	At string
 }
 
-// Replica is one incarnation of an upstream.
+// Replica is one incarnation of an upstream process.
 type Replica struct {
-	// Name is unique to the replica, Born tells its incarnations apart.
-	Name          string `cbor:"1,keyasint,omitempty"`
+	// Name is unique among the replicas.
+	Name string `cbor:"1,keyasint,omitempty"`
+	// Born identifies the incarnation.
 	Born          int64  `cbor:"2,keyasint,omitempty"`
 	Service       string `cbor:"3,keyasint,omitempty"`
 	Address       string `cbor:"4,keyasint,omitempty"`
 	FailureDomain string `cbor:"5,keyasint,omitempty"`
-	Slots         int    `cbor:"6,keyasint,omitempty"`
-	// Leaving replicas get nothing new.
+	// Slots is how many requests the replica serves at the same time.
+	Slots int `cbor:"6,keyasint,omitempty"`
+	// Leaving reports whether the replica is draining and must get no new requests.
 	Leaving bool `cbor:"7,keyasint,omitempty"`
 }
 
-// Listed brings the replicas that are registered now.
+// Listed carries the complete list of registered replicas.
 type Listed struct {
 	Replicas []Replica
-	// Away tells that the list was out of reach until now, so that a live replica may be missing from it.
+	// Away reports whether the list was unavailable until now, so that live replicas may be missing from it.
 	Away bool
 }
 
-// Relisted brings what has changed of the list: replicas that came or are registered anew, and the names of those that are
-// registered no longer.
+// Relisted carries the changes of the list of registered replicas.
 type Relisted struct {
+	// Replicas holds the replicas that were registered or changed.
 	Replicas []Replica
-	Gone     []string
-	// Away tells that the list was out of reach until now, so that a live replica may be among those that are gone.
+	// Gone names the replicas that are no longer registered.
+	Gone []string
+	// Away reports whether the list was unavailable until now, so that a live replica may be in Gone.
 	Away bool
 }
 
-// Configured brings the version in force.
+// Configured carries the configuration version in force.
 type Configured struct{ Routing *decl.Routing }
 
-// Peered brings the other instances that live.
+// Peered carries the other live instances.
 type Peered struct{ Instances []Instance }
 
-// Heard brings another instance's note.
+// Heard carries a note received from another instance.
 type Heard struct{ Note Note }
 
-// Surveyed brings an engine's own report of its load.
+// Surveyed carries an engine's own load report, the answer to a Survey.
 type Surveyed struct {
 	Replica string
-	// Running counts the requests that it runs or keeps waiting, Used is the memory in tokens that they take.
+	// Running counts the requests that the engine runs or has queued.
 	Running int
-	Used    int64
+	// Used is the memory in tokens that these requests occupy.
+	Used int64
 }
 
-// Answered tells of an answer of a replica to anything that it was sent, as its header came.
+// Answered reports the header of a replica's answer to any kind of request.
 type Answered struct {
 	Replica string
-	// Born is the incarnation that answered.
+	// Born identifies the incarnation that answered.
 	Born int64
-	// Sent is when the request left to which it is the answer.
+	// Sent is when the request was sent.
 	Sent time.Time
-	// Limited tells that the replica names a rate limit, PerS is that in requests a second from all instances together.
+	// Limited reports whether the answer announces a rate limit.
 	Limited bool
-	PerS    float64
+	// PerS is the announced limit in requests per second, for all instances together.
+	PerS float64
 }
 
-// Draining tells that the instance was asked to stop. From Hold on nothing waits here any longer, and at Stop what is
-// still under way ends.
-type Draining struct{ Hold, Stop time.Time }
+// Draining reports that the instance was asked to shut down.
+type Draining struct {
+	// Hold is when the requests that still wait for a replica are refused.
+	Hold time.Time
+	// Stop is when the attempts that are still running are aborted.
+	Stop time.Time
+}
 
-// Ticked lets time pass.
+// Ticked reports that time has passed: timers are checked and waiting requests dispatched.
 type Ticked struct{}
 
-// Summarized asks for the notes by which the others make good what they did not hear.
+// Summarized requests the notes that repeat the instance's whole state, so that the others recover from lost notes.
 type Summarized struct{}
 
 func (Arrived) isEvent()      {}
--- a/internal/steer/export_test.go
+++ b/internal/steer/export_test.go
@@ -1,6 +1,6 @@
 package steer
 
-// Booked counts the parts of work that are booked at replicas, also at those that are gone.
+// Booked counts the jobs' parts that are booked at replicas, including replicas that are gone.
 func (st *State) Booked() int {
 	count := 0
 	for _, rep := range st.replicas {
--- a/internal/steer/life_test.go
+++ b/internal/steer/life_test.go
@@ -10,75 +10,81 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// life is what happened to one request.
-type life struct {
+// requestHistory records what happened to one request.
+type requestHistory struct {
 	route *decl.Route
-	// ran counts the attempts that may have run, sent all of them, repeats those that the budget counts.
-	ran, sent, repeats int
-	ends               []steer.Finish
+	// ran counts the attempts that may have run.
+	ran int
+	// sent counts all attempts.
+	sent int
+	// repeats counts the attempts that may have arrived. From the second on they count against the repeat budget.
+	repeats int
+	ends    []steer.Finish
 }
 
-// lives follows all requests of a world.
-type lives struct {
-	rt   *rapid.T
-	lw   *limitWorld
-	all  map[steer.RequestID]*life
-	came []time.Time
-	// again holds when requests were sent again that may have arrived.
-	again []time.Time
+// requestHistories records and checks all requests of a simulated fleet.
+type requestHistories struct {
+	rt        *rapid.T
+	lw        *limitWorld
+	byID      map[steer.RequestID]*requestHistory
+	arrivedAt []time.Time
+	// repeatedAt holds the times of the repeats that count against the budget.
+	repeatedAt []time.Time
 }
 
-// livesBudget is tight enough to bind.
-var livesBudget = steer.Budget{Ratio: 0.2, Slack: 6, Window: 10 * time.Second}
+// tightBudget is low enough to be exhausted in the test.
+var tightBudget = steer.Budget{Ratio: 0.2, Slack: 6, Window: 10 * time.Second}
 
-// outcomes are how attempts end, most of them well.
+// outcomes are the results from which an attempt's is drawn. Success is the most frequent.
 var outcomes = []steer.Result{
 	steer.ResultDone, steer.ResultDone, steer.ResultDone, steer.ResultDone, steer.ResultDone, steer.ResultAnswered, steer.ResultNotSent, steer.ResultNotRun,
 	steer.ResultMisdirected, steer.ResultBroken, steer.ResultSilent, steer.ResultExpired,
 }
 
-// outcome draws how an attempt ends.
-func (ls *lives) outcome(eff steer.Send) (steer.AttemptEnded, time.Duration) {
-	lf := ls.all[eff.ID]
-	if len(lf.ends) > 0 {
-		ls.rt.Fatalf("request %d of %s sent after its end", eff.ID, lf.route.Name)
-	}
-	result := outcomes[ls.lw.random.IntN(len(outcomes))]
-	end := steer.AttemptEnded{ID: eff.ID, Attempt: eff.Attempt, Result: result, Died: ls.lw.chance(0.1) == 1, Status: 500}
-	lf.sent++
-	if lf.sent > 1 && lf.route.Repeats == decl.RepeatsNone && lf.ran > 0 {
-		ls.rt.Fatalf("request %d of %s sent again after it may have run", eff.ID, lf.route.Name)
+// outcome draws the result of an attempt and its duration, and checks that the attempt was allowed.
+func (rhs *requestHistories) outcome(eff steer.Send) (steer.AttemptEnded, time.Duration) {
+	rh := rhs.byID[eff.ID]
+	if len(rh.ends) > 0 {
+		rhs.rt.Fatalf("request %d of %s sent after its end", eff.ID, rh.route.Name)
+	}
+	result := outcomes[rhs.lw.random.IntN(len(outcomes))]
+	end := steer.AttemptEnded{ID: eff.ID, Attempt: eff.Attempt, Result: result, Died: rhs.lw.chance(0.1) == 1, Status: 500}
+	rh.sent++
+	if rh.sent > 1 && rh.route.Repeats == decl.RepeatsNone && rh.ran > 0 {
+		rhs.rt.Fatalf("request %d of %s sent again after it may have run", eff.ID, rh.route.Name)
 	}
 	if result != steer.ResultNotSent && result != steer.ResultNotRun && result != steer.ResultMisdirected {
-		lf.ran++
+		rh.ran++
 	}
-	if lf.ran > lf.route.Attempts {
-		ls.rt.Fatalf("request %d of %s ran %d times, allowed %d", eff.ID, lf.route.Name, lf.ran, lf.route.Attempts)
+	if rh.ran > rh.route.Attempts {
+		rhs.rt.Fatalf("request %d of %s ran %d times, allowed %d", eff.ID, rh.route.Name, rh.ran, rh.route.Attempts)
 	}
 	if result != steer.ResultNotSent {
-		lf.repeats++
+		rh.repeats++
 	}
-	if lf.repeats > 1 {
-		ls.again = append(ls.again, ls.lw.now)
+	if rh.repeats > 1 {
+		rhs.repeatedAt = append(rhs.repeatedAt, rhs.lw.now)
 	}
-	return end, time.Duration(1+ls.lw.random.IntN(900)) * time.Millisecond
+	return end, time.Duration(1+rhs.lw.random.IntN(900)) * time.Millisecond
 }
 
-func (ls *lives) ended(fin steer.Finish) {
-	lf := ls.all[fin.ID]
-	lf.ends = append(lf.ends, fin)
-	if len(lf.ends) > 1 {
-		ls.rt.Fatalf("request %d of %s ended twice", fin.ID, lf.route.Name)
+// ended checks the end of a request: there is only one, and what it says about runs is true.
+func (rhs *requestHistories) ended(fin steer.Finish) {
+	rh := rhs.byID[fin.ID]
+	rh.ends = append(rh.ends, fin)
+	if len(rh.ends) > 1 {
+		rhs.rt.Fatalf("request %d of %s ended twice", fin.ID, rh.route.Name)
 	}
-	if fin.Refusal != nil && fin.Refusal.NotRun && lf.ran > 0 {
-		ls.rt.Fatalf("request %d of %s refused as not run, and may have run", fin.ID, lf.route.Name)
+	if fin.Refusal != nil && fin.Refusal.NotRun && rh.ran > 0 {
+		rhs.rt.Fatalf("request %d of %s refused as not run, and may have run", fin.ID, rh.route.Name)
 	}
-	if fin.Refusal != nil && !fin.Refusal.NotRun && lf.ran == 0 {
-		ls.rt.Fatalf("request %d of %s refused as possibly run, and certainly has not", fin.ID, lf.route.Name)
+	if fin.Refusal != nil && !fin.Refusal.NotRun && rh.ran == 0 {
+		rhs.rt.Fatalf("request %d of %s refused as possibly run, and certainly has not", fin.ID, rh.route.Name)
 	}
 }
 
-func (ls *lives) arrive(rt *rapid.T) {
+// arrive submits a request of a drawn route, prompt and instance.
+func (rhs *requestHistories) arrive(rt *rapid.T) {
 	patient := update
 	patient.Name, patient.Attempts = "patient update", 3
 	route := rapid.SampledFrom([]*decl.Route{&short, &short, &long, &update, &patient, &lookup}).Draw(rt, "route")
@@ -86,14 +92,14 @@
 	if route.Stream {
 		prompt = rapid.SampledFrom([]int64{1000, 5000, 45_000, 400_000}).Draw(rt, "prompt")
 	}
-	ls.all[ls.lw.nextID+1] = &life{route: route}
-	ls.came = append(ls.came, ls.lw.now)
-	ls.lw.arrive(rapid.SampledFrom(ls.lw.nodes).Draw(rt, "instance"), route, prompt)
+	rhs.byID[rhs.lw.nextID+1] = &requestHistory{route: route}
+	rhs.arrivedAt = append(rhs.arrivedAt, rhs.lw.now)
+	rhs.lw.arrive(rapid.SampledFrom(rhs.lw.nodes).Draw(rt, "instance"), route, prompt)
 }
 
-// relist changes what is registered: a replica leaves, is gone, is back or is another incarnation.
-func (ls *lives) relist(rt *rapid.T) {
-	lw := ls.lw
+// changeReplicas changes the list of registered replicas for a while: a replica leaves, is missing or is a new incarnation.
+func (rhs *requestHistories) changeReplicas(rt *rapid.T) {
+	lw := rhs.lw
 	place := rapid.IntRange(0, len(lw.replicas)-1).Draw(rt, "replica")
 	list := append([]steer.Replica{}, lw.replicas...)
 	switch rapid.IntRange(0, 2).Draw(rt, "change") {
@@ -111,32 +117,33 @@
 	}
 }
 
-// leave lets the caller of a request leave.
-func (ls *lives) leave(rt *rapid.T) {
-	if ls.lw.nextID == 0 {
+// disconnectCaller disconnects the caller of a drawn request.
+func (rhs *requestHistories) disconnectCaller(rt *rapid.T) {
+	if rhs.lw.nextID == 0 {
 		return
 	}
-	id := steer.RequestID(rapid.Uint64Range(1, uint64(ls.lw.nextID)).Draw(rt, "request"))
-	for _, node := range ls.lw.nodes {
-		ls.lw.reduce(node, steer.CallerGone{ID: id})
+	id := steer.RequestID(rapid.Uint64Range(1, uint64(rhs.lw.nextID)).Draw(rt, "request"))
+	for _, node := range rhs.lw.nodes {
+		rhs.lw.reduce(node, steer.CallerGone{ID: id})
 	}
 }
 
-func TestLivesInModel(t *testing.T) {
-	// Instances restart, freeze and are cut off, notes are lost, late and doubled, replicas fail, leave and come back, callers leave: a
-	// request that may run once does so at most, ends once and is told the truth, and nothing stays booked for ever.
+func TestRequestLifecycleInModel(t *testing.T) {
+	// Instances restart, freeze and are partitioned, notes are lost, late or duplicated, replicas fail, leave and return, and
+	// callers disconnect. No request may run more often than allowed, each ends exactly once with a true statement about
+	// whether it ran, repeats stay within the budget, and no booking is leaked.
 	rapid.Check(t, func(rt *rapid.T) {
 		list := replicas(rapid.IntRange(1, 4).Draw(rt, "engines"))
 		slots := rapid.SampledFrom([]int{1, 3, 16}).Draw(rt, "slots")
 		for i := range list {
 			list[i].Slots = slots
 		}
-		lw := newLimitWorld(rapid.Uint64().Draw(rt, "seed"), rapid.IntRange(1, 5).Draw(rt, "instances"), list, livesBudget)
+		lw := newLimitWorld(rapid.Uint64().Draw(rt, "seed"), rapid.IntRange(1, 5).Draw(rt, "instances"), list, tightBudget)
 		lw.loss = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "loss")
 		lw.doubled = rapid.SampledFrom([]float64{0, 0.2}).Draw(rt, "doubled")
 		lw.slow = rapid.SampledFrom([]float64{0, 0.1}).Draw(rt, "slow")
-		ls := &lives{rt: rt, lw: lw, all: map[steer.RequestID]*life{}}
-		lw.outcome, lw.ended = ls.outcome, ls.ended
+		rhs := &requestHistories{rt: rt, lw: lw, byID: map[steer.RequestID]*requestHistory{}}
+		lw.outcome, lw.ended = rhs.outcome, rhs.ended
 		for _, rep := range lw.replicas {
 			if rapid.IntRange(0, 3).Draw(rt, "limited") == 0 {
 				lw.name(rep.Name, rapid.Float64Range(0, 6).Draw(rt, "limit"))
@@ -149,41 +156,42 @@
 			case 0:
 				lw.disturb(rt)
 			case 1:
-				ls.relist(rt)
+				rhs.changeReplicas(rt)
 			case 2:
-				ls.leave(rt)
+				rhs.disconnectCaller(rt)
 			default:
-				ls.arrive(rt)
+				rhs.arrive(rt)
 			}
 		}
 		lw.loss, lw.slow = 0, 0
 		lw.pass(40 * time.Second)
-		ls.judge()
+		rhs.checkInvariants()
 	})
 }
 
-// judge checks what must hold once all is over.
-func (ls *lives) judge() {
-	for _, node := range ls.lw.nodes {
+// checkInvariants checks the final state: no request or booking is left, and no window had more repeats than the budget
+// allows.
+func (rhs *requestHistories) checkInvariants() {
+	for _, node := range rhs.lw.nodes {
 		if open, waiting, booked := node.st.Open(), node.st.Waiting(), node.st.Booked(); open+waiting+booked > 0 {
-			ls.rt.Fatalf("%s has %d requests open, %d waiting and %d parts booked long after the last", node.name, open, waiting, booked)
+			rhs.rt.Fatalf("%s has %d requests open, %d waiting and %d parts booked long after the last", node.name, open, waiting, booked)
 		}
 	}
-	for i, last := range ls.again {
+	for i, last := range rhs.repeatedAt {
 		repeats := 0
-		for _, at := range ls.again[:i+1] {
-			if last.Sub(at) < livesBudget.Window {
+		for _, at := range rhs.repeatedAt[:i+1] {
+			if last.Sub(at) < tightBudget.Window {
 				repeats++
 			}
 		}
 		requests := 0
-		for _, at := range ls.came {
-			if since := last.Sub(at); since >= 0 && since < livesBudget.Window {
+		for _, at := range rhs.arrivedAt {
+			if since := last.Sub(at); since >= 0 && since < tightBudget.Window {
 				requests++
 			}
 		}
-		if float64(repeats) > livesBudget.Ratio*float64(requests)+livesBudget.Slack {
-			ls.rt.Fatalf("%d repeats of %d requests in %s", repeats, requests, livesBudget.Window)
+		if float64(repeats) > tightBudget.Ratio*float64(requests)+tightBudget.Slack {
+			rhs.rt.Fatalf("%d repeats of %d requests in %s", repeats, requests, tightBudget.Window)
 		}
 	}
 }
--- /dev/null
+++ b/internal/steer/loadquery.go
@@ -0,0 +1,112 @@
+package steer
+
+import (
+	"strings"
+	"time"
+)
+
+// Load queries after a restart of all instances. If all instances fail at once, the engines go on generating answers for
+// the dead ones. Restarted instances that took the engines for idle would overload them just when the callers of the last
+// seconds all retry. So if no longer-running instance is known, one of those that started together queries the engines for
+// their load once and tells the others. The queries are made by the first instance by name of those that use the replica and
+// are known. Where an instance has survived, its notes contain the whole load.
+
+const (
+	// loadQueryDelay is how long an instance waits for notes of others before it queries.
+	loadQueryDelay = 120 * time.Millisecond
+	// sameStartTolerance is the largest difference in uptime of instances that count as started together.
+	sameStartTolerance = 1500 * time.Millisecond
+	// loadReportPrefix begins the name of the pseudo-instance under which an engine's reported load is booked. It sends nothing
+	// more, so it is dropped after peerSilence. By then most answers for dead instances have ended.
+	loadReportPrefix = "survey/"
+	// maxReportedRequests bounds the requests that are booked from one report.
+	maxReportedRequests = 256
+)
+
+// queryLoad queries the engines for their load, once, if no longer-running instance is known after loadQueryDelay. Engines
+// with a rate limit are left out.
+func (st *State) queryLoad() {
+	if st.loadQueryDone || len(st.replicas) == 0 {
+		return
+	}
+	if st.loadQueryAt.IsZero() {
+		st.loadQueryAt = st.now.Add(loadQueryDelay)
+	}
+	if st.now.Before(st.loadQueryAt) {
+		return
+	}
+	st.loadQueryDone = true
+	if st.hasOlderPeer() {
+		return
+	}
+	var engines []Replica
+	for _, svc := range st.services {
+		if svc.engine == nil {
+			continue
+		}
+		for _, rep := range svc.replicas {
+			if rep.limit == nil && st.surveyor(svc, rep) {
+				engines = append(engines, rep.Replica)
+			}
+		}
+	}
+	if len(engines) > 0 {
+		st.emit(Line{Message: "no older instance heard; engines asked for their load"})
+		st.emit(Survey{Replicas: engines})
+	}
+}
+
+// hasOlderPeer reports whether a longer-running instance is known. Its notes contain the load that it has sent.
+func (st *State) hasOlderPeer() bool {
+	for _, pr := range st.peers {
+		if pr.up > st.up()+sameStartTolerance.Milliseconds() {
+			return true
+		}
+	}
+	return false
+}
+
+// needless reports whether the note must be ignored: it is a load report, and a longer-running instance, this one or a peer,
+// has announced the same load. Counted twice, half-full engines would look full and callers be refused for peerSilence. A
+// note from a longer-running peer also drops the load reports booked so far.
+func (st *State) needless(nt *Note) bool {
+	if isSurvey(nt.From) {
+		return st.up() > nt.Up+sameStartTolerance.Milliseconds() || st.hasOlderPeer()
+	}
+	if nt.Up > st.up()+sameStartTolerance.Milliseconds() {
+		st.dropLoadReports()
+	}
+	return false
+}
+
+// isSurvey reports whether a note's sender is the pseudo-instance of a load report.
+func isSurvey(from string) bool { return strings.HasPrefix(from, loadReportPrefix) }
+
+// dropLoadReports removes the load booked from all load reports.
+func (st *State) dropLoadReports() {
+	for from, pr := range st.peers {
+		if isSurvey(from) {
+			st.dropPeer(from, pr)
+		}
+	}
+}
+
+// loadReported books the part of an engine's load that is not known from notes and announces it to the other instances. Each
+// such request gets an equal share of the reported memory.
+func (st *State) loadReported(ev Surveyed) {
+	rep, ok := st.replicas[ev.Replica]
+	if !ok {
+		return
+	}
+	unknown := min(ev.Running, maxReportedRequests) - rep.running()
+	if unknown <= 0 {
+		return
+	}
+	nt := Note{From: loadReportPrefix + ev.Replica, Run: st.Options.Run, Up: st.up(), Whole: true}
+	for id := range unknown {
+		nt.Kept = append(nt.Kept, JobID(id))
+		nt.Jobs = append(nt.Jobs, Job{ID: JobID(id), Replicas: []string{ev.Replica}, Prompt: max(0, ev.Used) / int64(ev.Running), Begun: true})
+	}
+	st.heard(nt)
+	st.emit(Tell{Note: nt, To: st.users(st.audience(rep))})
+}
--- a/internal/steer/survey_test.go
+++ b/internal/steer/loadquery_test.go
@@ -9,10 +9,10 @@
 	"dandelionsail.example/dandelionsail/internal/steer"
 )
 
-func TestNewcomersSurveyIsNoLoadForThoseThatLive(t *testing.T) {
-	// An instance joins others that have lived for long. Their notes are late, it believes that all died, asks the engines
-	// for their load and tells of what it found. The others know of all that: counted twice, the engines look full to them,
-	// and they refuse callers for four seconds while half of the slots are free.
+func TestLongRunningInstanceIgnoresLoadReports(t *testing.T) {
+	// A new instance joins others that have run for long. Their notes are late, so it takes them for dead, queries the engines
+	// and announces the reported load. The others already count that load: counted twice, the engines look full, and callers
+	// are refused for four seconds while half of the slots are free.
 	in := newInstance(t, "one", 1)
 	in.pass(10 * time.Second)
 	work := steer.Note{From: "two", Run: 1, Up: 9000}
@@ -20,13 +20,13 @@
 		work.Jobs = append(work.Jobs, steer.Job{ID: steer.JobID(id), Replicas: []string{"lyric-0"}, Prompt: 1000, Goal: 300, Gap: 250, Begun: true})
 	}
 	in.reduce(steer.Heard{Note: work})
-	in.reduce(steer.Heard{Note: survey(9)})
+	in.reduce(steer.Heard{Note: loadReportNote(9)})
 	in.within(time.Millisecond, in.arrive(&short, 2000))
 }
 
-func TestSurveyIsForgottenWhereAnInstanceLivedOn(t *testing.T) {
-	// A newcomer has asked the engines for their load. Then it hears of an instance that has lived for long and tells of the
-	// same work. What it was told by the engines counts no longer.
+func TestLoadReportsAreDroppedOnceOlderPeerIsKnown(t *testing.T) {
+	// A new instance has queried the engines for their load. Then it receives a note from a longer-running instance, which
+	// announces the same load. The load from the reports must not count any longer, or it would count twice.
 	in := newInstance(t, "one", 1)
 	in.pass(time.Millisecond)
 	in.reduce(steer.Surveyed{Replica: "lyric-0", Running: 16, Used: 90_000})
@@ -36,8 +36,9 @@
 	assert.Equal(t, sent.Replica.Name, "lyric-0")
 }
 
-// survey is the note of an instance that has just started and was told of so many requests at the only engine.
-func survey(running int) steer.Note {
+// loadReportNote returns a note by which a new instance announces that the only engine reported the given number of
+// requests.
+func loadReportNote(running int) steer.Note {
 	nt := steer.Note{From: "survey/lyric-0", Run: 7, Up: 400, Whole: true}
 	for id := range running {
 		nt.Kept = append(nt.Kept, steer.JobID(id))
--- a/internal/steer/main_test.go
+++ b/internal/steer/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestMain lets drawn tests draw the same each time, unless a seed is given: -rapid.seed 0 takes a new one.
+// TestMain fixes the seed of the property tests, so that runs are repeatable, unless -rapid.seed is given; 0 draws a new
+// seed.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := false
--- a/internal/steer/retry.go
+++ b/internal/steer/retry.go
@@ -7,7 +7,7 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// maxSends bounds how often one request is sent at all, those that certainly did not run included.
+// maxSends bounds the attempts of one request, including those that certainly did not run.
 const maxSends = 4
 
 func (st *State) attemptEnded(ev AttemptEnded) {
@@ -21,7 +21,7 @@
 		req.pause, req.pauseAt = ev.Pause, ev.PauseAt
 	}
 	st.unbook(req)
-	st.judge(req, ev)
+	st.recordOutcome(req, ev)
 	if ev.Result != ResultNotSent && ev.Result != ResultNotRun && ev.Result != ResultMisdirected {
 		req.runs++
 	}
@@ -30,7 +30,7 @@
 		st.finish(req, Finish{ID: req.ID}, "answered")
 	case st.drain != nil && !st.now.Before(st.drain.Stop):
 		st.refuse(req, ReasonDraining, drainPause)
-	case req.gone || ev.Result == ResultCancelled:
+	case req.disconnected || ev.Result == ResultCancelled:
 		st.finish(req, Finish{ID: req.ID}, "caller left")
 	default:
 		st.retry(req, ev)
@@ -38,42 +38,42 @@
 	st.dispatch()
 }
 
-// judge counts the end of an attempt for or against the replica.
-func (st *State) judge(req *request, ev AttemptEnded) {
+// recordOutcome updates the health of the replica at fault from the result of an attempt.
+func (st *State) recordOutcome(req *request, ev AttemptEnded) {
 	rep := st.atFault(req, ev.At)
 	switch ev.Result {
 	case ResultNotRun:
-		// A replica that refuses for another one's sake names it: a helper that leaves or is gone.
+		// A refusal that another replica caused names that one: a helper that is leaving or gone.
 		if rep != req.reps[0] || st.hadRoom(rep, req) {
-			st.avoid(rep)
+			st.markDown(rep)
 		}
 	case ResultDone, ResultAnswered:
 		rep.succeeded()
 	case ResultNotSent, ResultSilent, ResultMisdirected:
-		st.avoid(rep)
+		st.markDown(rep)
 	case ResultBroken:
 		if ev.Died {
-			st.avoid(rep)
+			st.markDown(rep)
 			st.countDeath(req)
 		}
 	}
 }
 
-// avoid keeps everybody from the replica for a while. The others hear of it from the first that finds out.
-func (st *State) avoid(rep *replica) {
-	known := !rep.usable(st.now)
+// markDown takes the replica out of rotation for a while. If it was in rotation here, the other instances are told too.
+func (st *State) markDown(rep *replica) {
+	wasDown := !rep.usable(st.now)
 	rep.failed(st.now)
-	if !known {
+	if !wasDown {
 		st.emit(Line{Message: "replica avoided", Replica: rep.Name, Attempt: rep.failures})
 		st.emit(Tell{Note: st.note(Note{Down: []string{rep.Name}})})
 	}
 }
 
-// hadRoom tells that the replica refused the request though it had a slot and the memory for it, by all that is known here.
-// Load pattern: replicas are emptied while the store is away, so that nobody is told that they leave. They refuse all that
-// is new, at once, and with nothing to do they look like the best choice: each request tried four of them and failed.
-// Where only some of a replica's calls are told of, a refusal says nothing: it may be full, and to avoid one after the other
-// would leave none.
+// hadRoom reports whether, as far as known here, the replica had a free slot and enough memory for the request that it
+// refused. Such a replica has to be marked down: if replicas are drained while the store is unavailable, their state does
+// not reach the instances. They refuse new requests at once, look idle and therefore best, and each request fails after
+// attempts at four of them. Where instances learn of only some of a plain replica's calls, a refusal proves nothing: the
+// replica may be full, and marking down one after the other would leave none.
 func (st *State) hadRoom(rep *replica, req *request) bool {
 	if rep.freeSlots() <= 0 {
 		return false
@@ -85,7 +85,7 @@
 	return rep.free(eng) >= req.tokens()
 }
 
-// atFault is the replica that ended the attempt: the first, or the helper that the answer names.
+// atFault returns the replica to blame for the end of the attempt: the one that answers, or the helper that at names.
 func (st *State) atFault(req *request, at string) *replica {
 	for _, rep := range req.reps {
 		if at == rep.Name || at == rep.Address {
@@ -95,10 +95,10 @@
 	return req.reps[0]
 }
 
-// retry sends the request again if that is safe, allowed and in time.
+// retry queues the request for another attempt if that is safe, within the limits and in time, and refuses it otherwise.
 func (st *State) retry(req *request, ev AttemptEnded) {
 	st.emit(Line{Message: "attempt failed: " + ev.Result.String(), Request: req.Name, Replica: req.reps[0].Name, Age: st.now.Sub(req.at), Attempt: req.attempt})
-	req.answered = ev.Result == ResultAnswered || req.answered
+	req.failureHeld = ev.Result == ResultAnswered || req.failureHeld
 	if !st.now.Before(req.Deadline) {
 		st.refuse(req, ReasonDeadline, 0)
 		return
@@ -121,8 +121,8 @@
 	st.waiting = append(st.waiting, req)
 }
 
-// mayRepeat allows a repeat of what certainly did not run, and of idempotent requests within the route's attempts and
-// the budget that all instances share.
+// mayRepeat reports whether the request may be sent again: it certainly did not run, or its route declares that it may run
+// again. Repeats are bounded by maxSends, the route's attempts and the budget that all instances share.
 func (st *State) mayRepeat(req *request, ev AttemptEnded) bool {
 	if req.attempt >= maxSends || req.runs >= req.Route.Attempts {
 		return false
@@ -131,12 +131,13 @@
 		return false
 	}
 	if ev.Result == ResultNotSent {
-		// Nothing arrived, so that it costs the replicas nothing.
+		// Nothing was sent, so the repeat adds no load and is not charged to the budget.
 		return true
 	}
-	return st.ledgerOf(req.service).again(st.now, st.Options.Budget, st.live)
+	return st.ledgerOf(req.service).takeRepeat(st.now, st.Options.Budget, st.live)
 }
 
+// repeatable reports whether the route allows a request that may have run to run again after this result.
 func repeatable(req *request, ev AttemptEnded) bool {
 	switch req.Route.Repeats {
 	case decl.RepeatsAny:
@@ -147,7 +148,7 @@
 	return false
 }
 
-// String names the result for the log.
+// String returns the name of the result for the log.
 func (res Result) String() string {
 	names := [...]string{"", "done", "answered with a failure", "not sent", "not run", "misdirected", "broken", "silent", "expired", "cancelled"}
 	if int(res) >= len(names) {
@@ -156,20 +157,23 @@
 	return names[res]
 }
 
-// Budget bounds the repeats over all instances: in any Window, Ratio of the requests and Slack more.
+// Budget bounds the repeats of all instances together: in any Window, at most Ratio times the requests plus Slack.
 type Budget struct {
-	Ratio  float64
+	Ratio float64
+	// Slack is a number of repeats.
 	Slack  float64
 	Window time.Duration
 }
 
-// ledger counts one service's requests and repeats of this instance by slices of the window.
+// ledger counts this instance's requests and repeats for one service in a ring of time slots.
 type ledger struct {
-	slots   [ledgerSlots]struct{ requests, repeats float64 }
+	slots [ledgerSlots]struct{ requests, repeats float64 }
+	// current is the number of the newest slot since the Unix epoch.
 	current int64
 }
 
-// ledgerSlots divide the window; one more than the window holds keeps any span of that length within the bound.
+// ledgerSlots is the number of time slots, one more than fit into the window: otherwise a window that begins within a slot
+// could hold more repeats than the budget.
 const ledgerSlots = 11
 
 func (st *State) ledgerOf(name string) *ledger {
@@ -181,7 +185,8 @@
 	return led
 }
 
-func (led *ledger) turn(now time.Time, window time.Duration) int {
+// advance clears the slots that are out of date and returns the index of the current one.
+func (led *ledger) advance(now time.Time, window time.Duration) int {
 	slot := now.UnixNano() / max(1, int64(window)/(ledgerSlots-1))
 	for ; led.current < slot; led.current++ {
 		if slot-led.current > ledgerSlots {
@@ -192,14 +197,14 @@
 	return int(slot % ledgerSlots)
 }
 
-func (led *ledger) request(now time.Time, window time.Duration) {
-	led.slots[led.turn(now, window)].requests++
+func (led *ledger) countRequest(now time.Time, window time.Duration) {
+	led.slots[led.advance(now, window)].requests++
 }
 
-// again takes one repeat from the budget. Each of the live instances has an equal part of the slack, and one of them
-// that is not known to this one is allowed for.
-func (led *ledger) again(now time.Time, bud Budget, live int) bool {
-	at := led.turn(now, bud.Window)
+// takeRepeat charges one repeat to the budget and reports whether the budget allowed it. The slack is divided equally among
+// the live instances and one more, in case this instance does not know of one of them.
+func (led *ledger) takeRepeat(now time.Time, bud Budget, live int) bool {
+	at := led.advance(now, bud.Window)
 	var requests, repeats float64
 	for _, slot := range led.slots {
 		requests += slot.requests
@@ -212,5 +217,6 @@
 	return true
 }
 
-// budgetShare leaves room for requests that were counted here in one window and arrived in the next.
+// budgetShare is the usable part of the budget. The rest covers requests that count here in one window and arrive in the
+// next.
 const budgetShare = 0.9
--- a/internal/steer/serve.go
+++ b/internal/steer/serve.go
@@ -7,19 +7,20 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// The life of a request, from its arrival to its one Finish.
+// The lifecycle of a request, from its arrival to its single Finish.
 
 const (
-	// busyPause is when a caller that was refused for want of room should come back.
+	// busyPause is the base retry delay for a caller that was refused for lack of capacity or after a failure.
 	busyPause = 500 * time.Millisecond
-	// drainPause is when a caller should come back that waited at an instance that stops; another one takes it.
+	// drainPause is the retry delay for a caller whose instance shuts down. It is short since another instance can serve the
+	// retry.
 	drainPause = 20 * time.Millisecond
-	// notRunPause is the wait after a replica's refusal.
+	// notRunPause is the delay before a request is sent again after a replica refused it.
 	notRunPause = 20 * time.Millisecond
 )
 
 func (st *State) arrived(ev Arrived) {
-	req := &request{Arrived: ev, at: st.now, waitsFrom: st.now, service: st.choose(ev.Route)}
+	req := &request{Arrived: ev, at: st.now, waitsFrom: st.now, service: st.chooseService(ev.Route)}
 	req.goal = st.now.Add(ev.Route.Goal.Std())
 	req.gap = ev.Route.Gap.Std()
 	req.value = st.valueOf(ev.Route.Name, ev.Prompt)
@@ -33,43 +34,43 @@
 		st.ask(eng, req)
 	}
 	st.requests[ev.ID] = req
-	st.ledgerOf(req.service).request(st.now, st.Options.Budget.Window)
+	st.ledgerOf(req.service).countRequest(st.now, st.Options.Budget.Window)
 	st.waiting = append(st.waiting, req)
 	st.dispatch()
 }
 
-// choose takes one of the route's services by their weights.
-func (st *State) choose(route *decl.Route) string {
+// chooseService draws one of the route's services at random by their weights.
+func (st *State) chooseService(route *decl.Route) string {
 	total := 0
-	for _, back := range route.Shares {
-		total += back.Weight
+	for _, share := range route.Shares {
+		total += share.Weight
 	}
 	if total == 0 {
 		return route.Shares[0].Service
 	}
 	draw := st.random.IntN(total)
-	for _, back := range route.Shares {
-		if draw < back.Weight {
-			return back.Service
+	for _, share := range route.Shares {
+		if draw < share.Weight {
+			return share.Service
 		}
-		draw -= back.Weight
+		draw -= share.Weight
 	}
 	return route.Shares[0].Service
 }
 
-// book counts the request at the replicas of the plan, here and at the other instances.
+// book reserves the request's place at the replicas of the plan and announces it to the other instances.
 func (st *State) book(req *request, pl plan) {
 	st.nextJob(req)
 	st.bookGranted(req, pl)
 }
 
-// nextJob names the request's next job.
+// nextJob assigns the ID of the request's next job.
 func (st *State) nextJob(req *request) {
 	req.jobs++
 	req.job = JobID(req.ID)*jobsPerRequest + req.jobs%jobsPerRequest
 }
 
-// bookGranted books the job that was named when it asked for a send.
+// bookGranted books the plan under the current job ID, which an Ask may already have announced.
 func (st *State) bookGranted(req *request, pl plan) {
 	req.plan = pl
 	req.reps = append(req.reps[:0], pl.reps...)
@@ -80,17 +81,17 @@
 	st.tellStart(req, job)
 }
 
-// jobsPerRequest is how many jobs of one request have different names; the others remember the end of one for less time
-// than as many take.
+// jobsPerRequest is how many jobs of one request have distinct IDs. Peers forget that an ID has ended before that many jobs
+// have passed, so an ID that is used again is not taken for the ended one.
 const jobsPerRequest = 256
 
-// unbook takes the request's job from its replicas again.
+// unbook removes the request's job from its replicas and announces its end.
 func (st *State) unbook(req *request) {
 	st.endJob(jobKey{id: req.job}, req.reps)
 	st.tellEnded(req)
 }
 
-// send sends a request that is booked.
+// send starts the next attempt of a booked request.
 func (st *State) send(req *request) {
 	pl := &req.plan
 	req.attempt++
@@ -109,7 +110,7 @@
 		}
 		eff.Helpers = append(eff.Helpers, helper)
 	}
-	eff.FirstBy, eff.GapBy = st.patience(req, pl)
+	eff.FirstBy, eff.GapBy = st.progressTimeouts(req, pl)
 	st.countSends(req)
 	st.emit(eff)
 	st.emit(Line{
@@ -121,28 +122,30 @@
 
 func millis(dur time.Duration) int32 { return int32(dur / time.Millisecond) }
 
-// Silence. A stream's engine says nothing while it reads, so the time allowed follows the estimate.
+// Progress timeouts. An engine sends nothing while it reads a prompt, so the timeout of a stream follows the estimate.
 const (
-	// silenceFactor is how many times its estimate a first answer may take.
-	silenceFactor = 2.5
-	// leastSilence covers the stall of an engine that waits for a dead helper, and short freezes.
-	leastSilence = 1100 * time.Millisecond
-	jointSilence = 1900 * time.Millisecond
+	// progressTimeoutFactor is the timeout for the first byte as a multiple of its estimate.
+	progressTimeoutFactor = 2.5
+	// minProgressTimeout is the lower bound of both timeouts. It outlasts short freezes and the stall of an engine that waits
+	// for a dead helper.
+	minProgressTimeout = 1100 * time.Millisecond
+	// minSplitProgressTimeout is that bound for a prompt that several engines read.
+	minSplitProgressTimeout = 1900 * time.Millisecond
 )
 
-// patience is how long the answer may take to begin, and to go on.
-func (st *State) patience(req *request, pl *plan) (first, gap time.Duration) {
+// progressTimeouts returns how long the answer may take to begin and how long it may pause.
+func (st *State) progressTimeouts(req *request, pl *plan) (first, gap time.Duration) {
 	left := req.Deadline.Sub(st.now)
 	if !req.Route.Stream {
-		// How long a plain call takes is the service's affair, and the deadline's end is no silence.
+		// A plain call may use its whole deadline. If the timeout fired first, a slow replica would count as failed.
 		return left + time.Second, left + time.Second
 	}
-	least := leastSilence
+	shortest := minProgressTimeout
 	if len(pl.reps) > 1 {
-		least = jointSilence
+		shortest = minSplitProgressTimeout
 	}
-	first = max(least, duration(silenceFactor*pl.first))
-	return first, max(least, 4*req.gap)
+	first = max(shortest, duration(progressTimeoutFactor*pl.first))
+	return first, max(shortest, 4*req.gap)
 }
 
 func (st *State) began(ev Began) {
@@ -160,7 +163,8 @@
 	st.dispatch()
 }
 
-// progressed takes the end of a pass from an event of a stream: all events of an engine leave it together.
+// progressed updates the pace and the passes of the replica: an engine sends all its events at the end of a pass, so each
+// event marks one.
 func (st *State) progressed(ev Progressed) {
 	req, ok := st.requests[ev.ID]
 	if !ok || ev.Attempt != req.attempt || len(req.reps) == 0 {
@@ -178,7 +182,7 @@
 	if !ok {
 		return
 	}
-	req.gone = true
+	req.disconnected = true
 	if req.running {
 		st.abort(req)
 		return
@@ -196,9 +200,9 @@
 	}
 }
 
-// refuse ends a request that no replica answered.
+// refuse ends a request that got no successful answer. A replica's error answer goes to the caller in place of the refusal.
 func (st *State) refuse(req *request, reason Reason, after time.Duration) {
-	if req.answered {
+	if req.failureHeld {
 		st.finish(req, Finish{ID: req.ID, Deliver: true}, "failure delivered")
 		return
 	}
@@ -207,7 +211,7 @@
 	st.finish(req, Finish{ID: req.ID, Refusal: refusal}, "")
 }
 
-// endOf is what the request came to.
+// endOf returns the outcome of the request for the log. A late request is reported with its original goal and value.
 func (st *State) endOf(req *request) *End {
 	end := &End{
 		Route: req.Route.Name, Value: req.value, Back: req.returned,
@@ -225,7 +229,7 @@
 	return end
 }
 
-// finish ends a request. Every way out passes here.
+// finish ends a request. Every admitted request passes through it exactly once.
 func (st *State) finish(req *request, fin Finish, message string) {
 	if message != "" {
 		st.emit(Line{Message: message, Request: req.Name, Age: st.now.Sub(req.at), Attempt: req.attempt, Tokens: req.Prompt, End: st.endOf(req)})
@@ -235,9 +239,9 @@
 	st.emit(fin)
 }
 
-// stop ends what is under way when the process is about to be killed: a caller that gets an answer now need not find out
-// from a connection that is cut.
-func (st *State) stop() {
+// abortAtStop ends the running attempts shortly before the process is killed. Their callers then get an error answer right
+// away and need not detect a connection that is cut.
+func (st *State) abortAtStop() {
 	if st.drain == nil || st.now.Before(st.drain.Stop) {
 		return
 	}
--- a/internal/steer/serve_test.go
+++ b/internal/steer/serve_test.go
@@ -9,10 +9,10 @@
 	"dandelionsail.example/dandelionsail/internal/steer"
 )
 
-func TestWaitingRequestKeepsTheReducerAwake(t *testing.T) {
-	// A request comes for which no engine has a slot, and nothing else happens at this instance. The engine has one 20 ms
-	// later, of which a note tells. The shell's own tick may be 200 ms away, most of the 300 ms that the caller was
-	// promised: the reducer asks to be woken for as long as the request waits, once at a time, and not any longer.
+func TestWaitingRequestSchedulesWakes(t *testing.T) {
+	// A request waits because no engine has a free slot, and a note frees one. The shell's own tick may be 200 ms away, most of
+	// the 300 ms within which the answer should begin. So the reducer has to request wake-ups while the request waits: one at a
+	// time, and none afterwards.
 	in := newInstance(t, "one", 1)
 	nt := steer.Note{From: "two", Run: 1}
 	for id := range figures.Slots {
@@ -29,8 +29,8 @@
 	none[steer.Wake](t, in.pass(time.Second))
 }
 
-// arriveLong brings a long prompt whose caller says how much time it has.
-func (in *instance) arriveLong() []steer.Effect {
+// arriveLongPrompt submits a long prompt whose caller announces its timeout.
+func (in *instance) arriveLongPrompt() []steer.Effect {
 	in.next++
 	return in.reduce(steer.Arrived{
 		ID: in.next, Route: &long, Name: "request", Prompt: 100_000, Answer: 1000, Digest: 1, Given: 15 * time.Second,
@@ -38,12 +38,12 @@
 	})
 }
 
-func TestRequestWhoseAttemptFailedHearsInTime(t *testing.T) {
-	// The engine that was to answer a long prompt falls silent, and there is no other one. The request waited for a place
-	// until its caller left, ten seconds later and with nothing to show for it. It gets its final answer after a part of its
-	// time now, without the promise that it has not run, so that its caller can try elsewhere while there is time.
+func TestFailedRequestIsRefusedBeforeCallerLeaves(t *testing.T) {
+	// The only engine falls silent while it processes a long prompt. The request must not wait for a replica until its caller
+	// leaves, ten seconds later. It is refused after a part of its time, without the guarantee that it did not run, so that the
+	// caller can still try elsewhere.
 	in := newInstance(t, "one", 1)
-	sent := find[steer.Send](t, in.arriveLong())
+	sent := find[steer.Send](t, in.arriveLongPrompt())
 	in.pass(3 * time.Second)
 	none[steer.Finish](t, in.end(sent, steer.ResultSilent))
 	none[steer.Finish](t, in.pass(2*time.Second))
@@ -52,26 +52,26 @@
 	assert.Equal(t, fin.Refusal.Reason, steer.ReasonDeadline)
 }
 
-func TestLateRequestStillGoesWhereThereIsRoom(t *testing.T) {
-	// The engine that was to answer a long prompt falls silent, which shows three seconds after the answer should have
-	// begun. Another engine is idle. The lateness that cannot be helped any more counted against the request like one
-	// that a choice would cause, more than its answer was worth, and it was never sent again.
+func TestLateRequestIsRetriedOnIdleEngine(t *testing.T) {
+	// An engine falls silent while it processes a long prompt, which is noticed three seconds after the answer should have
+	// begun. Another engine is idle. Lateness that no placement can avoid must not count as a cost of the placement: it exceeds
+	// the value of the answer, and the request would never be retried.
 	in := newInstance(t, "one", 1)
-	sent := find[steer.Send](t, in.arriveLong())
+	sent := find[steer.Send](t, in.arriveLongPrompt())
 	in.pass(6 * time.Second)
 	in.reduce(steer.Listed{Replicas: replicas(2)})
 	again := in.within(100*time.Millisecond, in.end(sent, steer.ResultSilent))
 	assert.Equal(t, again.Replica.Name, "lyric-1")
 }
 
-func TestReplicaThatRefusesWithRoomIsLeftAlone(t *testing.T) {
-	// Replicas are emptied while the store is away, so that nobody hears that they leave. They refuse at once whatever is new,
-	// and having nothing to do they look like the best choice: every request tried four of them and failed. After the first
-	// refusal nobody sends there for a while, here and at the others, who are told once.
+func TestReplicaRefusingWithFreeSlotsIsMarkedDown(t *testing.T) {
+	// Replicas are drained while the store is unavailable, so their state does not reach the instances. They refuse new
+	// requests at once and look idle and therefore best, so every request would try four of them and fail. After the first
+	// refusal the replica must be out of rotation for a while, here and at the other instances, which are told once.
 	in := newInstance(t, "one", 2)
 	first := in.within(time.Millisecond, in.arrive(&short, 2000))
 	effects := in.end(first, steer.ResultNotRun)
-	assert.DeepEqual(t, toldDown(effects), []string{first.Replica.Name})
+	assert.DeepEqual(t, announcedDown(effects), []string{first.Replica.Name})
 	second := in.within(100*time.Millisecond, effects)
 	assert.Assert(t, second.Replica.Name != first.Replica.Name)
 	in.end(second, steer.ResultDone)
@@ -82,9 +82,9 @@
 	}
 }
 
-func TestReplicaThatIsFullIsNotLeftAlone(t *testing.T) {
-	// A replica refuses since all of its slots are taken, by requests of which the refused one is the last. It is as good as
-	// before once one of them ends.
+func TestFullReplicaIsNotMarkedDown(t *testing.T) {
+	// A replica refuses a request because all its slots are taken, as this instance knows from a note that came after the send.
+	// It must stay in rotation, since it is usable again once one of its requests ends.
 	in := newInstance(t, "one", 1)
 	nt := steer.Note{From: "two", Run: 1}
 	for id := range figures.Slots - 1 {
@@ -94,11 +94,11 @@
 	sent := in.within(20*time.Millisecond, in.arrive(&short, 2000))
 	nt.Jobs = []steer.Job{{ID: 99, Replicas: []string{"lyric-0"}, Prompt: 1000, Goal: 300, Gap: 250, Begun: true}}
 	in.reduce(steer.Heard{Note: nt})
-	assert.Equal(t, len(toldDown(in.end(sent, steer.ResultNotRun))), 0)
+	assert.Equal(t, len(announcedDown(in.end(sent, steer.ResultNotRun))), 0)
 }
 
-// toldDown names the replicas of which the effects tell others that they cannot be used.
-func toldDown(effects []steer.Effect) []string {
+// announcedDown returns the names of the replicas that the effects announce as down.
+func announcedDown(effects []steer.Effect) []string {
 	var names []string
 	for _, eff := range effects {
 		if tell, ok := eff.(steer.Tell); ok {
--- a/internal/steer/state.go
+++ b/internal/steer/state.go
@@ -7,166 +7,191 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Options fix what an instance is.
+// Options configures one instance.
 type Options struct {
+	// Name identifies the instance towards the others.
 	Name          string
 	FailureDomain string
-	// Run tells this run of the instance apart from earlier ones.
+	// Run identifies this process lifetime, so that peers discard what earlier runs of the same name announced.
 	Run int64
-	// Seed makes random choices repeatable.
+	// Seed seeds the random choices, so that a run can be reproduced.
 	Seed uint64
-	// Budget bounds what is sent more than once.
+	// Budget bounds the repeated attempts of all instances together.
 	Budget Budget
-	// MissingTime is how long a replica that is missing from the list may still be used where the list itself was out of
-	// reach.
+	// MissingTime is how long a replica stays in use that is missing from a list obtained after an outage of the list's
+	// store.
 	MissingTime time.Duration
-	// Tuning weighs one choice against another; the zero value stands for DefaultTuning.
+	// Tuning holds the weights of the placement policy; the zero value stands for DefaultTuning.
 	Tuning Tuning
 }
 
-// State is everything an instance decides from. It belongs to one goroutine at a time.
+// State is the whole state of an instance's reducer. It is not safe for concurrent use.
 type State struct {
 	Options Options
 	tune    Tuning
-	// Routing is the version in force, nil before the first.
+	// Routing is the configuration version in force, nil before the first one arrives.
 	Routing *decl.Routing
 
 	now time.Time
-	// startedAt is when the first event came.
+	// startedAt is the time of the first event.
 	startedAt time.Time
 	services  map[string]*service
 	replicas  map[string]*replica
 	requests  map[RequestID]*request
-	// waiting holds what has no replica yet, in the order of arrival, claims what waits for others to object.
+	// waiting holds the requests that have no replica yet; dispatch sorts them by urgency.
 	waiting []*request
-	claims  []*request
-	peers   map[string]*peer
-	// others are the other instances by name, names only those, live is how many there are with this one. usersOf holds the
-	// names of those that use a subset.
-	others  []Instance
-	names   []string
-	live    int
+	// claims holds the requests whose claim on a slot other instances may still contest.
+	claims []*request
+	peers  map[string]*peer
+	// others lists the other live instances, sorted by name.
+	others []Instance
+	// names lists the names of others, in the same order.
+	names []string
+	// live counts the live instances, this one included.
+	live int
+	// usersOf caches the names of the other instances that use a subset.
 	usersOf map[subset][]string
-	// outbox holds what is gathered for the users of a subset; postAt is when the shell was last asked to wake the reducer for
-	// it.
+	// outbox holds the note that is being batched for the users of each subset.
 	outbox map[subset]*pending
+	// postAt is the time of the last requested wake-up that flushes the outbox.
 	postAt time.Time
-	// allowance is how many messages may go out at once.
+	// allowance is the token bucket for messages to other instances.
 	allowance allowance
-	// summaries counts the summaries that were asked for.
+	// summaries counts the Summarized events.
 	summaries int
-	budgets   map[string]*ledger
-	poison    poison
-	// means holds the mean prompt of each route.
+	// budgets counts requests and repeats against the repeat budget, by service.
+	budgets map[string]*ledger
+	// quarantine counts replica deaths by request content.
+	quarantine quarantine
+	// means holds the moving average of the prompt length in tokens, by route.
 	means map[string]float64
-	// given holds the longest time that callers of each route said they have.
+	// given holds the longest timeout that any caller has announced, by route.
 	given map[string]time.Duration
-	// missing holds when the replicas are taken as gone that an incomplete list left out.
+	// missing holds, by name, when a replica that a possibly incomplete list left out is treated as gone.
 	missing map[string]time.Time
-	// silent holds when an instance last failed to answer an ask.
+	// silent holds, by name, when an instance last failed to answer an Ask.
 	silent map[string]time.Time
-	// wakeAt is when the shell was last asked to wake the reducer.
+	// wakeAt is the time of the last wake-up that was requested for the waiting requests.
 	wakeAt time.Time
-	// surveyAt is when engines are asked for their load, zero before the first list; done tells that they were or need
-	// not be.
-	surveyAt   time.Time
-	surveyDone bool
-	// drain is nil until the instance is asked to stop.
+	// loadQueryAt is when the engines are asked for their load, zero before the first replica list.
+	loadQueryAt time.Time
+	// loadQueryDone reports whether the engines were asked or need not be.
+	loadQueryDone bool
+	// drain is nil until the instance is asked to shut down.
 	drain *Draining
-	// demand is what callers asked of the engines here, othersDemand what they asked of the other instances as of the last
-	// summary.
-	demand       demandMeter
+	// demand measures what callers request from the engines through this instance.
+	demand demandMeter
+	// othersDemand is the sum of what the other instances announced, as of this instance's last summary.
 	othersDemand Demand
 	random       *rand.Rand
 	effects      []Effect
 }
 
-// service is one pool of replicas.
+// service is the pool of replicas of one service.
 type service struct {
-	name     string
+	name string
+	// engine is the declared performance of the replicas, nil for a plain service.
 	engine   *decl.Engine
 	replicas []*replica
-	// layout is how the replicas are split into subsets, candidates are those of this instance's; nil if they are to be found.
-	layout     *layout
+	// layout is how the replicas are split into subsets, nil until it is computed.
+	layout *layout
+	// candidates caches the replicas of the subset that this instance uses, nil until they are computed.
 	candidates []*replica
-	// backAt is the turn of the last caller that was asked to come back for the sake of the replicas' rate limits.
+	// backAt is the retry time of the next caller that is refused because of the replicas' rate limits.
 	backAt time.Time
 }
 
-// request is one request's life.
+// request is the state of one request from its arrival to its Finish.
 type request struct {
 	Arrived
 	service string
-	at      time.Time
-	goal    time.Time
-	gap     time.Duration
-	// value is what the answer is worth if it is in time.
+	// at is the time of arrival.
+	at time.Time
+	// goal is when the answer should begin. A request that cannot make it gets its Patience as the goal, see markLate.
+	goal time.Time
+	// gap is the longest pause within a stream that the route promises.
+	gap time.Duration
+	// value is the utility of an answer that is in time; for a late request, of an answer at all.
 	value float64
-	// returned tells that the caller was here before.
+	// returned reports whether the caller seems to have tried before, see recognize.
 	returned bool
-	// late tells that its goal is past or out of reach; aim and worth are the goal and the value that it had.
-	late  bool
-	aim   time.Time
+	// late reports whether the original goal has passed or is out of reach.
+	late bool
+	// aim is the original goal of a late request.
+	aim time.Time
+	// worth is the original value of a late request.
 	worth float64
-	// attempt counts from 1, 0 before the first; running tells that one is under way on reps.
+	// attempt is the number of the current or last attempt, 0 before the first.
 	attempt int
+	// running reports whether an attempt is in progress on reps.
 	running bool
-	// claims tells that it has a claim on reps and waits for others to object; job names the claim or the attempt, and
-	// jobs counts both.
-	claims  bool
-	job     JobID
-	jobs    JobID
-	plan    plan
-	reps    []*replica
+	// claims reports whether the request holds a claim on reps that other instances may still contest.
+	claims bool
+	// job identifies the current ask, claim or attempt.
+	job JobID
+	// jobs counts the jobs of the request so far.
+	jobs JobID
+	plan plan
+	// reps holds the replicas of the current or last job, the one that answers first.
+	reps []*replica
+	// tickets holds how many tokens of memory each helper reserves.
 	tickets []int64
-	sentAt  time.Time
+	// sentAt is when the current job was booked.
+	sentAt time.Time
 	// runs counts the attempts that may have run.
-	runs  int
+	runs int
+	// tried names the replicas at which an attempt failed.
 	tried []string
+	// begun reports whether the answer has begun in any attempt.
 	begun bool
-	// firstAt is when the answer began, pause its longest pause, which ended at pauseAt.
+	// firstAt is when the answer began.
 	firstAt time.Time
-	pause   time.Duration
+	// pause is the longest pause of the answer so far.
+	pause time.Duration
+	// pauseAt is when the longest pause ended.
 	pauseAt time.Time
-	gone    bool
+	// disconnected reports whether the caller closed its connection during an attempt.
+	disconnected bool
+	// aborted reports whether an Abort was emitted for the running attempt.
 	aborted bool
-	// answered tells that a replica's failure is at hand to be delivered.
-	answered bool
-	// waitsFrom is when it began to wait for a place, at first or after an attempt that failed.
+	// failureHeld reports whether the shell holds a replica's failure answer that can be delivered.
+	failureHeld bool
+	// waitsFrom is when the request last began to wait for a replica: on arrival or after a failed attempt.
 	waitsFrom time.Time
-	// notBefore keeps it waiting after a refusal.
+	// notBefore is the earliest time of the next attempt, after a refusal or a withdrawn claim.
 	notBefore time.Time
-	// ask is its wish for a send to a limited replica, barred holds until when it leaves some of them alone.
-	ask    ask
+	// ask is the pending permission request for a rate-limited replica.
+	ask ask
+	// barred holds, by name, until when the request skips a rate-limited replica.
 	barred map[string]time.Time
 }
 
-// New returns the state of an instance that has seen nothing yet.
+// New returns the state of an instance that has seen no event yet.
 func New(opts Options) *State {
 	if opts.Tuning == (Tuning{}) {
 		opts.Tuning = DefaultTuning()
 	}
 	return &State{
-		Options:  opts,
-		tune:     opts.Tuning,
-		services: map[string]*service{},
-		replicas: map[string]*replica{},
-		requests: map[RequestID]*request{},
-		peers:    map[string]*peer{},
-		live:     1,
-		budgets:  map[string]*ledger{},
-		poison:   newPoison(),
-		missing:  map[string]time.Time{},
-		silent:   map[string]time.Time{},
-		usersOf:  map[subset][]string{},
-		outbox:   map[subset]*pending{},
-		means:    map[string]float64{},
-		given:    map[string]time.Duration{},
-		random:   rand.New(rand.NewPCG(opts.Seed, opts.Seed)),
+		Options:    opts,
+		tune:       opts.Tuning,
+		services:   map[string]*service{},
+		replicas:   map[string]*replica{},
+		requests:   map[RequestID]*request{},
+		peers:      map[string]*peer{},
+		live:       1,
+		budgets:    map[string]*ledger{},
+		quarantine: newQuarantine(),
+		missing:    map[string]time.Time{},
+		silent:     map[string]time.Time{},
+		usersOf:    map[subset][]string{},
+		outbox:     map[subset]*pending{},
+		means:      map[string]float64{},
+		given:      map[string]time.Duration{},
+		random:     rand.New(rand.NewPCG(opts.Seed, opts.Seed)),
 	}
 }
 
-// Reduce takes one event and returns what is to be done. The slice is valid until the next call.
+// Reduce applies one event and returns the effects to carry out. The slice is valid until the next call.
 func (st *State) Reduce(now time.Time, ev Event) []Effect {
 	st.now = now
 	if st.startedAt.IsZero() {
@@ -195,7 +220,7 @@
 	case Heard:
 		st.heard(ev.Note)
 	case Surveyed:
-		st.surveyed(ev)
+		st.loadReported(ev)
 	case Answered:
 		st.answered(ev)
 	case Draining:
@@ -204,20 +229,20 @@
 		st.summarize()
 	case Ticked:
 		st.settle()
-		st.survey()
+		st.queryLoad()
 		st.expire()
-		st.stop()
+		st.abortAtStop()
 		st.forget()
 		st.dispatch()
 	}
-	st.stayAwake()
+	st.scheduleWake()
 	st.post()
 	return st.effects
 }
 
-// stayAwake asks to be woken while anything waits: what a waiting request needs may come free at any moment, and the
-// shell's own ticks are far apart, since most of the time nothing waits.
-func (st *State) stayAwake() {
+// scheduleWake requests a wake-up while any request waits. The capacity that a request needs may become free at any moment,
+// and the shell's own ticks are far apart because most of the time nothing waits.
+func (st *State) scheduleWake() {
 	if len(st.waiting) == 0 || st.now.Before(st.wakeAt) {
 		return
 	}
@@ -225,16 +250,17 @@
 	st.emit(Wake{After: wakePeriod})
 }
 
-// wakePeriod is how often what waits is looked at: a tenth of the time that the shortest prompts have to wait at the most.
+// wakePeriod is how often the waiting requests are dispatched: a tenth of the longest time that the shortest prompts have to
+// wait.
 const wakePeriod = 10 * time.Millisecond
 
 // Waiting reports how many requests wait for a replica.
 func (st *State) Waiting() int { return len(st.waiting) }
 
-// Open reports how many requests have had no Finish.
+// Open reports how many requests have not had their Finish yet.
 func (st *State) Open() int { return len(st.requests) }
 
-// Usable reports whether any replica may get new work.
+// Usable reports whether any replica is registered and not leaving.
 func (st *State) Usable() bool {
 	for _, rep := range st.replicas {
 		if !rep.gone && !rep.Leaving {
@@ -244,7 +270,7 @@
 	return false
 }
 
-// Lists reports whether the replica is registered.
+// Lists reports whether the named replica is registered.
 func (st *State) Lists(name string) bool {
 	rep, ok := st.replicas[name]
 	return ok && !rep.gone
--- a/internal/steer/steer_test.go
+++ b/internal/steer/steer_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// The routes of the tests, with the aims of short, middle and long prompts, and of plain calls.
+// The routes of the tests: streams with the goals of short and long prompts, and plain calls.
 var (
 	short = decl.Route{
 		Name: "short", Shares: []decl.Share{{Service: "lyric", Weight: 1}}, Repeats: decl.RepeatsResumed, Stream: true,
@@ -40,7 +40,7 @@
 	Chunk: 2048, Stride: 51, Helpers: 16,
 }
 
-// instance drives one reducer.
+// instance drives one reducer with a simulated clock.
 type instance struct {
 	t    *testing.T
 	st   *steer.State
@@ -58,7 +58,7 @@
 	return in
 }
 
-// replicas are so many engines and two plain replicas.
+// replicas returns the given number of engines and two plain replicas.
 func replicas(engines int) []steer.Replica {
 	var list []steer.Replica
 	for i := range engines {
@@ -70,7 +70,7 @@
 	return list
 }
 
-// reduce returns the effects of the event without the log's lines.
+// reduce applies the event and returns its effects without the log lines.
 func (in *instance) reduce(ev steer.Event) []steer.Effect {
 	var effects []steer.Effect
 	for _, eff := range in.st.Reduce(in.now, ev) {
@@ -81,12 +81,13 @@
 	return effects
 }
 
+// pass advances the clock and returns the effects of the tick.
 func (in *instance) pass(period time.Duration) []steer.Effect {
 	in.now = in.now.Add(period)
 	return in.reduce(steer.Ticked{})
 }
 
-// arrive brings a request of the route with a prompt of so many tokens and the time that its route gives.
+// arrive submits a request on the route with a prompt of the given number of tokens and the route's timeout.
 func (in *instance) arrive(route *decl.Route, prompt int64) []steer.Effect {
 	in.next++
 	ev := steer.Arrived{
@@ -99,7 +100,7 @@
 	return in.reduce(ev)
 }
 
-// summarized is how many jobs the instance tells the others of when it tells all of them.
+// summarized returns how many jobs the instance lists in its summary to the others.
 func (in *instance) summarized() int {
 	jobs := 0
 	for _, eff := range in.reduce(steer.Summarized{}) {
@@ -109,7 +110,7 @@
 	return jobs
 }
 
-// within returns the Send that the effects hold or that follows in the time.
+// within returns the first Send among the effects or within the period after them.
 func (in *instance) within(period time.Duration, effects []steer.Effect) steer.Send {
 	in.t.Helper()
 	for until := in.now.Add(period); ; {
@@ -123,11 +124,12 @@
 	}
 }
 
+// end ends the attempt with the result.
 func (in *instance) end(sent steer.Send, result steer.Result) []steer.Effect {
 	return in.reduce(steer.AttemptEnded{ID: sent.ID, Attempt: sent.Attempt, Result: result})
 }
 
-// find returns the one effect of the type.
+// find returns the only effect of the type and fails if there is none or more than one.
 func find[Effect steer.Effect](t *testing.T, effects []steer.Effect) Effect {
 	t.Helper()
 	var found []Effect
@@ -140,7 +142,7 @@
 	return found[0]
 }
 
-// none asserts that there is no effect of the type.
+// none fails if there is an effect of the type.
 func none[Effect steer.Effect](t *testing.T, effects []steer.Effect) {
 	t.Helper()
 	for _, eff := range effects {
@@ -149,7 +151,7 @@
 	}
 }
 
-func TestAnsweredRequestHoldsNothing(t *testing.T) {
+func TestAnsweredRequestLeavesNoState(t *testing.T) {
 	in := newInstance(t, "one", 4)
 	sent := find[steer.Send](t, in.arrive(&short, 5000))
 	fin := find[steer.Finish](t, in.end(sent, steer.ResultDone))
@@ -158,9 +160,9 @@
 	assert.Equal(t, in.summarized(), 0)
 }
 
-func TestEndsOfAttempts(t *testing.T) {
-	// A replica ends an attempt in each of the ways that there are. What may have run and must not run twice is given up
-	// on without the promise that it has not run; what certainly did not run, or may be repeated, goes to another one.
+func TestAttemptResultDecidesRetry(t *testing.T) {
+	// Guards against the two errors of a retry decision. A request that may have run and must not run twice has to be refused
+	// without the guarantee that it did not run. One that did not run, or may run again, has to go to another replica.
 	cases := map[string]struct {
 		route  *decl.Route
 		end    steer.AttemptEnded
@@ -168,7 +170,7 @@
 		notRun bool
 	}{
 		"update, connection refused": {&update, steer.AttemptEnded{Result: steer.ResultNotSent}, true, true},
-		"update, refused unrun":      {&update, steer.AttemptEnded{Result: steer.ResultNotRun}, true, true},
+		"update, refused as not run": {&update, steer.AttemptEnded{Result: steer.ResultNotRun}, true, true},
 		"update, misdirected":        {&update, steer.AttemptEnded{Result: steer.ResultMisdirected}, true, true},
 		"update, broken":             {&update, steer.AttemptEnded{Result: steer.ResultBroken}, false, false},
 		"update, silent":             {&update, steer.AttemptEnded{Result: steer.ResultSilent}, false, false},
@@ -204,9 +206,9 @@
 	return 0
 }
 
-func TestNoMoreRunsThanTheRouteAllows(t *testing.T) {
-	// Two replicas break off under a lookup whose route allows two attempts. A third would run it once more than the
-	// operators allow, so the caller hears of a failure that promises nothing.
+func TestRouteAttemptsLimitRuns(t *testing.T) {
+	// Two replicas break off their answers to a lookup whose route allows two attempts. A third attempt would exceed what the
+	// operators allow, so the caller gets an error without the guarantee that the request did not run.
 	in := newInstance(t, "one", 4)
 	first := find[steer.Send](t, in.arrive(&lookup, 0))
 	second := find[steer.Send](t, in.end(first, steer.ResultBroken))
@@ -215,9 +217,9 @@
 	assert.Assert(t, !find[steer.Finish](t, effects).Refusal.NotRun)
 }
 
-func TestFailureIsDeliveredWhereNothingBetterCame(t *testing.T) {
-	// Both replicas of a lookup answer with a failure of their own. The caller gets the last one as it came, with its
-	// replica's signature, and not one of ours.
+func TestLastReplicaFailureIsDelivered(t *testing.T) {
+	// Both replicas answer a lookup with an error. The caller must get the last answer unchanged, with the replica's signature,
+	// and not a refusal made by the instance.
 	in := newInstance(t, "one", 4)
 	first := find[steer.Send](t, in.arrive(&lookup, 0))
 	second := find[steer.Send](t, in.reduce(steer.AttemptEnded{ID: 1, Attempt: 1, Result: steer.ResultAnswered, Status: 500}))
@@ -226,9 +228,9 @@
 	assert.Assert(t, fin.Deliver && fin.Refusal == nil)
 }
 
-func TestRepeatsStayInTheBudget(t *testing.T) {
-	// Every attempt breaks off, and each caller could be served by a second one. All instances together may repeat a
-	// fifth of the requests and twenty more in any ten seconds; an instance that knows one other takes a part of that.
+func TestRepeatsStayWithinBudget(t *testing.T) {
+	// Every first attempt breaks off and a second one would succeed. All instances together may repeat a fifth of the requests
+	// plus twenty in any ten seconds; an instance that knows one other may use only its share of the twenty.
 	in := newInstance(t, "one", 8)
 	in.reduce(steer.Peered{Instances: []steer.Instance{{Name: "two"}}})
 	repeats := 0
@@ -245,9 +247,9 @@
 	assert.Assert(t, repeats > 20 && repeats <= 200/5+20/2, repeats)
 }
 
-func TestLeavingReplicaGetsNothingNew(t *testing.T) {
-	// A replica says that it leaves, and an older list that is read late calls it ready again. Its leaving is final for
-	// its incarnation; a new one of the same name serves.
+func TestLeavingReplicaGetsNoNewRequests(t *testing.T) {
+	// A replica announces that it is leaving, and an outdated list read later shows it as ready. Leaving must be final for the
+	// incarnation, while a new incarnation of the same name gets requests.
 	in := newInstance(t, "one", 1)
 	list := replicas(1)
 	list[0].Leaving = true
@@ -261,16 +263,16 @@
 }
 
 func TestReplicaMissingAfterAnOutage(t *testing.T) {
-	// The store was away and its entries late. A replica that lives writes its entry again within two seconds, and
-	// is used all the while; one whose entry stays away is gone.
+	// After an outage of the store, entries of live replicas are missing until the replicas have rewritten them, within two
+	// seconds. Until then they must stay in use; a replica whose entry stays missing is gone.
 	cases := map[string]struct {
 		away   bool
 		after  time.Duration
 		served bool
 	}{
-		"gone while the store was there":     {false, 0, false},
-		"missing just after an outage":       {true, time.Second, true},
-		"still missing two seconds after it": {true, 2100 * time.Millisecond, false},
+		"missing without an outage":           {false, 0, false},
+		"missing one second after an outage":  {true, time.Second, true},
+		"missing two seconds after an outage": {true, 2100 * time.Millisecond, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -286,9 +288,9 @@
 	}
 }
 
-func TestContentThatKillsReplicasIsRefusedEverywhere(t *testing.T) {
-	// A request takes down each engine that runs it, and its caller sends it again, also to other instances. After two
-	// deaths it is refused at once as not run, here and at the instance that was only told of them.
+func TestContentThatKillsReplicasIsQuarantinedEverywhere(t *testing.T) {
+	// A request crashes each engine that runs it, and its caller retries it, also at other instances. After two crashes it must
+	// be refused at once as not run, also by an instance that knows of the crashes only from notes.
 	one, two := newInstance(t, "one", 4), newInstance(t, "two", 4)
 	sent := find[steer.Send](t, one.arrive(&short, 5000))
 	for range 2 {
@@ -310,9 +312,9 @@
 	}
 }
 
-func TestDrainingAnswersWhatWaits(t *testing.T) {
-	// The instance is asked to stop while a request waits for a replica that does not come. Its caller is told to go to
-	// another instance before the process ends; before, the connection was cut with the request unanswered.
+func TestDrainRefusesWaitingRequests(t *testing.T) {
+	// The instance shuts down while a request waits for a replica. The request must be refused with a retry delay before the
+	// process ends: otherwise its connection is cut without an answer, and the caller does not know to try another instance.
 	in := newInstance(t, "one", 0)
 	none[steer.Send](t, in.arrive(&long, 100_000))
 	in.reduce(steer.Draining{Hold: in.now.Add(2 * time.Second), Stop: in.now.Add(7 * time.Second)})
@@ -322,9 +324,9 @@
 	assert.Assert(t, fin.Refusal.NotRun && fin.Refusal.RetryAfter > 0)
 }
 
-func TestStopEndsWhatIsUnderWay(t *testing.T) {
-	// An answer has not begun when the grace is over. Its caller hears of a failure that promises nothing, and not from a
-	// cut connection.
+func TestStopAbortsRunningAttempts(t *testing.T) {
+	// An answer has not begun when the grace period of the shutdown ends. The caller must get an error without the guarantee
+	// that the request did not run, and not a connection that is cut.
 	in := newInstance(t, "one", 1)
 	sent := find[steer.Send](t, in.arrive(&long, 100_000))
 	in.reduce(steer.Draining{Hold: in.now, Stop: in.now.Add(time.Second)})
@@ -334,17 +336,18 @@
 	assert.Assert(t, !fin.Refusal.NotRun)
 }
 
-func TestLoadOfDeadInstancesIsKnown(t *testing.T) {
-	// All instances died and start again; the engines still write for the dead ones, one of them with all its slots taken.
-	// The first that starts hears of no other one and asks the engines once. It and the others that it tells take another
-	// engine, until what was written for the dead has ended.
+func TestLoadLeftByDeadInstancesIsCounted(t *testing.T) {
+	// All instances restart while the engines still generate answers for the dead ones, and one engine has all its slots taken.
+	// The first instance knows no other, so it must query the engines once. It and those that it tells must use the other
+	// engine until the answers for the dead have ended. Instances that know one earlier by name or longer-running must not
+	// query.
 	one, two := newInstance(t, "one", 2), newInstance(t, "two", 2)
 	one.pass(time.Millisecond)
-	asked := find[steer.Survey](t, one.pass(200*time.Millisecond))
-	assert.Equal(t, len(asked.Replicas), 2)
+	query := find[steer.Survey](t, one.pass(200*time.Millisecond))
+	assert.Equal(t, len(query.Replicas), 2)
 	none[steer.Survey](t, one.pass(time.Second))
-	told := find[steer.Tell](t, one.reduce(steer.Surveyed{Replica: "lyric-0", Running: 16, Used: 90_000}))
-	two.reduce(steer.Heard{Note: told.Note})
+	report := find[steer.Tell](t, one.reduce(steer.Surveyed{Replica: "lyric-0", Running: 16, Used: 90_000}))
+	two.reduce(steer.Heard{Note: report.Note})
 	two.reduce(steer.Heard{Note: steer.Note{From: "one", Run: 1, Up: 100, Whole: true}})
 	two.pass(time.Millisecond)
 	none[steer.Survey](t, two.pass(200*time.Millisecond))
@@ -360,15 +363,15 @@
 	}
 }
 
-func TestDeadlineIsNoSilence(t *testing.T) {
-	// A plain call uses up its deadline. Its replica is not silent, only slow; taken for silent it would be left out for a
-	// while by every instance. The time allowed for the first byte ends after the deadline.
+func TestFirstByteTimeoutOfPlainCallExceedsDeadline(t *testing.T) {
+	// A plain call may use its whole deadline. If the timeout for the first byte ended before the deadline, a slow replica
+	// would count as silent, and every instance would take it out of rotation for a while.
 	in := newInstance(t, "one", 1)
 	sent := find[steer.Send](t, in.arrive(&update, 0))
 	assert.Assert(t, in.now.Add(sent.FirstBy).After(sent.Deadline))
 }
 
-func TestCallerThatLeftHoldsNothing(t *testing.T) {
+func TestCallerDisconnectReleasesRequest(t *testing.T) {
 	in := newInstance(t, "one", 1)
 	sent := find[steer.Send](t, in.arrive(&short, 5000))
 	find[steer.Abort](t, in.reduce(steer.CallerGone{ID: sent.ID}))
