--- /dev/null
+++ b/internal/steer/batch.go
@@ -0,0 +1,208 @@
+package steer
+
+import (
+	"slices"
+	"time"
+)
+
+// Batching of notes. The messages of an instance must not grow with the fleet: one message for each change and recipient
+// is quadratic in the number of instances, and soon takes more time than the requests themselves. So the rate of
+// messages is limited for each instance. Within the limit a change is sent at once; beyond it, changes are delayed for a
+// moment and sent together. Changes without which other instances decide wrongly are never delayed: a claim, and a long
+// read, which occupies its engines for longer than any batching delay.
+
+const (
+	// messageRate is how many messages a second an instance may send to others about its requests.
+	messageRate = 1000.0
+	// messageBurst is the time for which unused messages of that rate are kept.
+	messageBurst = 100 * time.Millisecond
+	// maxBatchDelay is the longest delay of a start or a begin: a tenth of a second is less than a pass of a busy
+	// engine.
+	maxBatchDelay = 100 * time.Millisecond
+	// maxEndBatchDelay is the longest delay of the end of a request at engines with slots to spare.
+	maxEndBatchDelay = 250 * time.Millisecond
+	// liveBegin is the highest age at which an answer's begin shows where its engine is in its passes.
+	liveBegin = sameBoundary
+	// maxBatchItems is the number of changes at which a note is sent without further delay, since it must fit into a
+	// datagram.
+	maxBatchItems = 40
+	// contendedSlots is the highest number of free slots of an engine at which a start there may be sent ahead of the
+	// allowance: other instances may take as many slots while it would be delayed.
+	contendedSlots = 5
+)
+
+// pending is the note for the users of one subset, sent at due.
+type pending struct {
+	note Note
+	// jobsAt holds when each of the note's jobs was booked.
+	jobsAt []time.Time
+	// begunAt holds when each of the note's answers began.
+	begunAt []time.Time
+	due     time.Time
+}
+
+// allowance is a token bucket: the number of messages that may be sent at once, as of at. It is negative while urgent
+// messages have overdrawn it.
+type allowance struct {
+	messages float64
+	at       time.Time
+}
+
+// refill brings the allowance up to now. Its capacity is the burst, or one message for each recipient if that is more.
+func (al *allowance) refill(now time.Time, listeners int) {
+	capacity := max(messageRate*messageBurst.Seconds(), float64(listeners))
+	if al.at.IsZero() {
+		al.messages = capacity
+	} else {
+		al.messages = min(capacity, al.messages+messageRate*now.Sub(al.at).Seconds())
+	}
+	al.at = now
+}
+
+// sendDelay is how long a change must wait until the allowance covers the users of the subset, at most maxDelay.
+func (st *State) sendDelay(sub subset, maxDelay time.Duration) time.Duration {
+	listeners := st.recipients(sub)
+	st.allowance.refill(st.now, listeners)
+	missing := float64(listeners) - st.allowance.messages
+	if missing <= 0 {
+		return 0
+	}
+	return min(maxDelay, duration(1000*missing/messageRate))
+}
+
+// recipients counts the other instances that use the subset.
+func (st *State) recipients(sub subset) int {
+	if names := st.users(sub); names != nil {
+		return len(names)
+	}
+	return st.live - 1
+}
+
+// tellStart announces the request's new job.
+func (st *State) tellStart(req *request, job Job) {
+	maxDelay := maxBatchDelay
+	if req.claims || st.readsAlone(req) {
+		maxDelay = 0
+	}
+	few := nearlyFull(req.reps[0])
+	for _, sub := range st.audiences(req.reps) {
+		wait := st.sendDelay(sub, maxDelay)
+		if few && st.mayOverdraw() {
+			wait = 0
+		}
+		pend := st.pendingFor(sub, wait)
+		pend.note.Jobs = append(pend.note.Jobs, job)
+		pend.jobsAt = append(pend.jobsAt, st.now)
+	}
+}
+
+// nearlyFull reports whether other instances might take the engine's last slots unless they learn at once which are
+// taken. Load pattern: streams concentrate on few engines, and many instances fill the same one at the same time;
+// requests beyond its slots wait there until an answer ends.
+func nearlyFull(rep *replica) bool { return rep.freeSlots() <= contendedSlots }
+
+// mayOverdraw reports whether a change may be sent ahead of the allowance: one may, as long as the one before has been
+// made up for.
+func (st *State) mayOverdraw() bool { return st.allowance.messages >= 0 }
+
+// readsAlone reports whether the request's reading keeps other long reads off its engines.
+func (st *State) readsAlone(req *request) bool {
+	return req.plan.part > st.tune.LongRead
+}
+
+// tellBegun announces that the request's answer began.
+func (st *State) tellBegun(req *request) {
+	for _, sub := range st.audiences(req.reps) {
+		pend := st.pendingFor(sub, st.sendDelay(sub, maxBatchDelay))
+		pend.note.Begun = append(pend.note.Begun, req.job)
+		pend.begunAt = append(pend.begunAt, st.now)
+	}
+}
+
+// tellEnded announces that the request's job has ended, sooner where slots are scarce and other instances wait for one.
+func (st *State) tellEnded(req *request) {
+	maxDelay := maxEndBatchDelay
+	switch {
+	case req.claims:
+		maxDelay = 0
+	case st.scarce(req.reps):
+		maxDelay = maxBatchDelay
+	}
+	for _, sub := range st.audiences(req.reps) {
+		pend := st.pendingFor(sub, st.sendDelay(sub, maxDelay))
+		pend.note.Ended = append(pend.note.Ended, req.job)
+	}
+}
+
+// scarce reports whether one of the replicas has few slots left or requests wait at this instance.
+func (st *State) scarce(reps []*replica) bool {
+	for _, rep := range reps {
+		if rep.freeSlots() <= scarceSlots {
+			return true
+		}
+	}
+	return len(st.waiting) > 0
+}
+
+// audiences lists the subsets whose users must be informed of work at the replicas.
+func (st *State) audiences(reps []*replica) []subset {
+	var subs []subset
+	for _, rep := range reps {
+		sub := st.audience(rep)
+		if !slices.Contains(subs, sub) {
+			subs = append(subs, sub)
+		}
+	}
+	return subs
+}
+
+// pendingFor returns the note that goes to the users of the subset, to be sent within the time.
+func (st *State) pendingFor(sub subset, within time.Duration) *pending {
+	pend, ok := st.outbox[sub]
+	if !ok {
+		pend = &pending{due: st.now.Add(within)}
+		st.outbox[sub] = pend
+	}
+	if due := st.now.Add(within); due.Before(pend.due) {
+		pend.due = due
+	}
+	if len(pend.note.Jobs)+len(pend.note.Begun)+len(pend.note.Ended) >= maxBatchItems {
+		pend.due = st.now
+	}
+	return pend
+}
+
+// post sends the notes that are due, and asks for a wake-up when the next one is.
+func (st *State) post() {
+	next := time.Time{}
+	for _, sub := range inOrder(st.outbox) {
+		pend := st.outbox[sub]
+		if !pend.due.After(st.now) {
+			delete(st.outbox, sub)
+			st.allowance.messages -= float64(st.recipients(sub))
+			st.emit(Tell{Note: st.note(st.withCurrentAges(pend)), To: st.users(sub)})
+			continue
+		}
+		if next.IsZero() || pend.due.Before(next) {
+			next = pend.due
+		}
+	}
+	if !next.IsZero() && (!st.postAt.After(st.now) || next.Before(st.postAt)) {
+		st.postAt = next
+		st.emit(Wake{After: next.Sub(st.now)})
+	}
+}
+
+// withCurrentAges returns the note with its times as of now.
+func (st *State) withCurrentAges(pend *pending) Note {
+	nt := pend.note
+	for i := range nt.Jobs {
+		kept := millis(st.now.Sub(pend.jobsAt[i]))
+		nt.Jobs[i].Goal -= kept
+		nt.Jobs[i].Age += kept
+	}
+	for _, at := range pend.begunAt {
+		nt.BegunAge = max(nt.BegunAge, millis(st.now.Sub(at)))
+	}
+	return nt
+}
--- a/internal/steer/gather_test.go
+++ b/internal/steer/batch_test.go
@@ -10,17 +10,17 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-var gatherRoute = decl.Route{
+var batchRoute = decl.Route{
 	Name: "short", Shares: []decl.Share{{Service: "lyric", Weight: 1}}, Stream: true, Repeats: decl.RepeatsResumed,
 	Timeout: decl.Duration(10 * time.Second), Goal: decl.Duration(400 * time.Millisecond), Gap: decl.Duration(300 * time.Millisecond), Attempts: 2,
 }
 
-// arrival is a request of the number with a prompt of so many tokens.
+// arrival returns a request with the ID and a prompt of so many tokens.
 func arrival(now time.Time, id RequestID, prompt int64) Arrived {
-	return Arrived{ID: id, Route: &gatherRoute, Prompt: prompt, Answer: 100, Digest: Digest(id), Deadline: now.Add(10 * time.Second), Patience: now.Add(2 * time.Second)}
+	return Arrived{ID: id, Route: &batchRoute, Prompt: prompt, Answer: 100, Digest: Digest(id), Deadline: now.Add(10 * time.Second), Patience: now.Add(2 * time.Second)}
 }
 
-// tells returns the messages to other instances among the effects of the event.
+// tells returns the notes to other instances among the effects of the event.
 func tells(st *State, now time.Time, ev Event) []Tell {
 	var found []Tell
 	for _, eff := range st.Reduce(now, ev) {
@@ -32,9 +32,9 @@
 }
 
 func TestMessagesOfARequestDoNotGrowWithTheFleet(t *testing.T) {
-	// Each of 195 instances told all others of each request's start, first event and end: 580 datagrams a request, of which
-	// the whole fleet's processors had more work than of the requests. A request is told to those that use its replica's
-	// subset, three times at the most.
+	// Guards against notes to all instances about each request's start, first event and end: with 195 instances that is
+	// 580 datagrams a request, which take the fleet more processor time than the requests. A request is announced only
+	// to the instances that use its replica's subset, at most three times.
 	st := fleet{195, 112, 5}.instance(3)
 	now := fleetStart
 	datagrams := 0
@@ -55,12 +55,13 @@
 	assert.Assert(t, datagrams >= 3*30 && datagrams <= 3*38, datagrams)
 }
 
-func TestChangesGoOutTogether(t *testing.T) {
-	// An instance takes hundreds of requests a second, each of which dozens of others must hear. The first changes go out at
-	// once; beyond what it may send, several go out as one message, with the times as they are by then. Over a second it sends
-	// no more messages than it may, however many changes there are, but for the claims, which cannot wait.
+func TestChangesAreBatched(t *testing.T) {
+	// An instance takes hundreds of requests a second, each of which dozens of others must learn of. Guards against
+	// messages that grow with the number of changes. The first changes are sent at once; beyond the message rate several
+	// are sent in one note, with their times as of then. Over a second the rate holds for any number of changes, except
+	// for claims, which are never delayed.
 	st := fleet{195, 112, 5}.instance(3)
-	messages, jobs, together := 0, 0, 0
+	messages, jobs, largest := 0, 0, 0
 	assert.Equal(t, len(tells(st, fleetStart, arrival(fleetStart, 1, 1000))), 1)
 	for id := range RequestID(500) {
 		now := fleetStart.Add(time.Duration(id+1) * 2 * time.Millisecond)
@@ -69,27 +70,27 @@
 				messages += len(tell.To)
 			}
 			jobs += len(tell.Note.Jobs)
-			together = max(together, len(tell.Note.Jobs))
+			largest = max(largest, len(tell.Note.Jobs))
 			if len(tell.Note.Jobs) > 1 {
 				oldest := tell.Note.Jobs[0]
 				assert.Assert(t, oldest.Age > 0 && oldest.Goal+oldest.Age == 400, oldest)
 			}
 		}
 	}
-	assert.Assert(t, together > 5 && jobs > 300, "%d together, %d in all", together, jobs)
+	assert.Assert(t, largest > 5 && jobs > 300, "%d together, %d in all", largest, jobs)
 	assert.Assert(t, messages <= 1.2*messageRate, messages)
 }
 
-func TestWhatOthersNeedAtOnceIsNotKept(t *testing.T) {
-	// A long read keeps its engine from all others, and a claim must be heard before the slot is taken. Kept for a moment,
-	// both would come too late: two long reads meet at one engine, and a slot is taken twice.
+func TestUrgentChangesAreNotDelayed(t *testing.T) {
+	// Guards against two long reads at one engine and a slot that is taken twice: a long read keeps its engine from all
+	// others, and a claim must be known before the slot is taken. Delayed by batching, both notes would come too late.
 	cases := map[string]struct {
 		engines int
 		prompt  int64
 		claim   bool
 	}{
-		"a long read":             {112, 220_000, false},
-		"a claim on a scarce one": {1, 5000, true},
+		"a long read":              {112, 220_000, false},
+		"a claim on a scarce slot": {1, 5000, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -99,15 +100,15 @@
 					st.Reduce(fleetStart, arrival(fleetStart, 100+id, 100))
 				}
 			}
-			told := tells(st, fleetStart, arrival(fleetStart, 1, tc.prompt))
-			assert.Assert(t, len(told) == 1 && len(told[0].Note.Jobs) > 0, told)
+			sent := tells(st, fleetStart, arrival(fleetStart, 1, tc.prompt))
+			assert.Assert(t, len(sent) == 1 && len(sent[0].Note.Jobs) > 0, sent)
 		})
 	}
 }
 
-func TestLateNewsOfABeginMovesNoPass(t *testing.T) {
-	// An answer's begin tells where its engine is in its passes, if it is heard at once. Heard later it would let a pass
-	// begin that began long ago, and the next request be sent to an engine that is not free.
+func TestDelayedBeginDoesNotMoveThePass(t *testing.T) {
+	// An answer's begin shows where its engine is in its passes only if it is received at once. Guards against a delayed
+	// note that starts a pass which began long ago, so that the next request is sent to an engine that is not free.
 	st := fleet{2, 1, 1}.instance(0)
 	job := Job{ID: 1, Replicas: []string{"engine-0"}, Prompt: 5000, Goal: 400, Gap: 300}
 	st.Reduce(fleetStart, Heard{Note: Note{From: "instance-1", Run: 1, Jobs: []Job{job}}})
@@ -118,9 +119,9 @@
 	assert.Assert(t, st.replicas["engine-0"].works[0].begun)
 }
 
-func TestLastSlotsAreToldAheadOfTheAllowance(t *testing.T) {
-	// Guards against starts that are kept while an engine's last slots are taken: instances that had not heard of each other
-	// filled the same engine beyond its slots, and what came last waited there until an answer ended.
+func TestStartsOnLastSlotsExceedTheMessageRate(t *testing.T) {
+	// Guards against delayed notes about starts that take an engine's last slots: instances that do not know of each
+	// other's starts fill the same engine beyond its slots, and the last requests wait there until an answer ends.
 	st := fleet{88, 54, 3}.instance(3)
 	now := fleetStart
 	note := Note{From: "instance-4", Run: 1}
--- a/internal/steer/engine.go
+++ b/internal/steer/engine.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Engines' figures are in milliseconds as float64, which the placement adds and compares; only its results become durations.
+// Engine figures are float64 milliseconds, which placement adds and compares. Only its results become durations.
 
 func ms(dur time.Duration) float64 { return float64(dur) / float64(time.Millisecond) }
 
--- a/internal/steer/list.go
+++ b/internal/steer/list.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// goneMemory is how long a replica that is gone is remembered for the work that is still under way there.
-const goneMemory = 30 * time.Second
+// goneRetention is how long a replica that is not registered any more is kept at least, for the work that is still in
+// progress there.
+const goneRetention = 30 * time.Second
 
-// listed takes the replicas that are registered now.
+// listed applies the whole list of registered replicas.
 func (st *State) listed(ev Listed) {
 	named := make(map[string]bool, len(ev.Replicas))
 	for _, item := range ev.Replicas {
@@ -19,19 +20,19 @@
 		if named[name] || rep.gone {
 			continue
 		}
-		st.unlisted(name, rep, ev.Away)
+		st.removeMissing(name, rep, ev.Away)
 	}
 	st.dispatch()
 }
 
-// relisted takes what has changed of the list. Its cost follows the changes, not the number of replicas.
+// relisted applies the changes of the list. Its cost grows with the changes, not with the number of replicas.
 func (st *State) relisted(ev Relisted) {
 	for _, item := range ev.Replicas {
 		st.register(item)
 	}
 	for _, name := range ev.Gone {
 		if rep, ok := st.replicas[name]; ok && !rep.gone {
-			st.unlisted(name, rep, ev.Away)
+			st.removeMissing(name, rep, ev.Away)
 		}
 	}
 	st.dispatch()
@@ -41,7 +42,7 @@
 	delete(st.missing, item.Name)
 	rep, ok := st.replicas[item.Name]
 	if ok && rep.Born == item.Born && rep.Address == item.Address && rep.Service == item.Service {
-		// Leaving is final for an incarnation, whatever an older list says.
+		// Leaving is final for an incarnation, even if an older list says otherwise.
 		item.Leaving = item.Leaving || rep.Leaving
 		if item.Leaving && !rep.Leaving {
 			st.emit(Line{Message: "replica leaves", Replica: item.Name})
@@ -49,29 +50,30 @@
 		rep.Replica = item
 		if rep.gone {
 			rep.gone = false
-			st.enlist(rep)
+			st.addToService(rep)
 		}
 		return
 	}
 	if ok {
-		st.drop(rep)
+		st.detach(rep)
 	}
-	rep = &replica{Replica: item, slow: 1, slowTold: 1}
+	rep = &replica{Replica: item, slow: 1, announcedSlow: 1}
 	st.replicas[item.Name] = rep
-	st.enlist(rep)
+	st.addToService(rep)
 }
 
-// enlist adds the replica to those of its service, from which drop took it if it was there before.
-func (st *State) enlist(rep *replica) {
+// addToService adds the replica to its service, from which detach removed it if it was registered before.
+func (st *State) addToService(rep *replica) {
 	svc := st.serviceOf(rep.Service)
 	svc.replicas = append(svc.replicas, rep)
 	svc.relayout()
 	st.emit(Line{Message: "replica joins", Replica: rep.Name})
 }
 
-// unlisted takes a replica out that the list leaves out. After an outage of the list's store, entries of live replicas
-// may be missing until these have written again, so they stay in use for MissingTime.
-func (st *State) unlisted(name string, rep *replica, away bool) {
+// removeMissing removes a replica that the list omits. If away is set, the list's store was out of reach until now:
+// entries of live replicas may be missing until these have written them again, so such replicas stay in use for
+// Options.MissingTime.
+func (st *State) removeMissing(name string, rep *replica, away bool) {
 	until, waits := st.missing[name]
 	if away && !waits {
 		st.missing[name] = st.now.Add(st.Options.MissingTime)
@@ -82,10 +84,10 @@
 	}
 	delete(st.missing, name)
 	st.emit(Line{Message: "replica is gone", Replica: name})
-	st.drop(rep)
+	st.detach(rep)
 }
 
-func (st *State) drop(rep *replica) {
+func (st *State) detach(rep *replica) {
 	rep.gone = true
 	rep.goneAt = st.now
 	svc := st.serviceOf(rep.Service)
@@ -93,15 +95,16 @@
 	svc.relayout()
 }
 
-// forget drops what is over: missing replicas whose time has passed, gone ones without work, silent peers.
+// forget drops what has expired: missing replicas whose time has passed, removed ones without work, silent peers and old
+// grants.
 func (st *State) forget() {
 	for name, until := range st.missing {
 		if rep, ok := st.replicas[name]; ok && !st.now.Before(until) {
-			st.unlisted(name, rep, false)
+			st.removeMissing(name, rep, false)
 		}
 	}
 	for name, rep := range st.replicas {
-		if rep.gone && len(rep.works) == 0 && st.now.Sub(rep.goneAt) > goneMemory {
+		if rep.gone && len(rep.works) == 0 && st.now.Sub(rep.goneAt) > goneRetention {
 			delete(st.replicas, name)
 		}
 	}
--- a/internal/steer/list_test.go
+++ b/internal/steer/list_test.go
@@ -9,11 +9,12 @@
 	"dandelionsail.example/dandelionsail/internal/steer"
 )
 
-func TestReplicaThatIsBackIsUsed(t *testing.T) {
-	// A replica's entry ends while it cannot reach the store, and is back a moment later, the replica being the same all the
-	// while. It counts as registered; left out of its service it would get no request until the instance is replaced.
+func TestReregisteredReplicaIsUsed(t *testing.T) {
+	// Guards against a replica that gets no request after its entry expired while it could not reach the store and was
+	// written again a moment later. It is the same incarnation and so counts as known; left out of its service, it would
+	// stay unused until the instance is replaced.
 	cases := map[string]steer.Event{
-		"in a change":     steer.Relisted{Replicas: replicas(1)[:1]},
+		"in an update":    steer.Relisted{Replicas: replicas(1)[:1]},
 		"in a whole list": steer.Listed{Replicas: replicas(1)},
 	}
 	for name, back := range cases {
--- a/internal/steer/pace.go
+++ b/internal/steer/pace.go
@@ -6,32 +6,35 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Pace. An engine may turn slow without going down: its health check is good, its answers come, and every stream on it
-// pauses for longer than its caller was promised. The time between two events of a stream is one pass of its engine, and a
-// pass in which nothing is read takes what the engine declares, so that each event shows how many times slower it is. Who
-// finds out tells those that use the engine too: each sees only a few of its streams.
+// Slow engines. An engine may slow down without failing: its health check succeeds, its answers arrive, but every stream
+// on it pauses for longer than its caller was promised. The time between two events of a stream is one pass of its
+// engine, and a pass in which nothing is read takes what the engine declares, so each event shows how many times slower
+// the engine is. The instance that detects it informs the others that use the engine, since each of them sees only a few
+// of its streams.
 
 const (
-	// slowFrom is how many times its figures a pass must take to say anything: writers that are not known make it longer too.
-	slowFrom = 1.8
-	// paceGain is the weight of one pass against what was seen before.
+	// minSlow is the lowest ratio of a pass to its declared time that counts as slow: requests that are not known here
+	// make a pass longer, too.
+	minSlow = 1.8
+	// paceGain is the weight of one pass in the moving average.
 	paceGain = 0.3
-	// maxSlow bounds what one pass can say: a pause may also come from the way of an event.
+	// maxSlow bounds what one pass or one note can claim: the network may delay an event as well.
 	maxSlow = 10
-	// paceMemory is how long an engine that nobody hears keeps its pace; then half of its slowness is forgotten, so that it is
-	// tried again.
-	paceMemory = 3 * time.Second
-	// paceTold is by which part a pace must change to be told again.
-	paceTold = 0.3
+	// paceDecayInterval is how long an engine keeps its slowdown without a new observation. Then half of the slowdown is
+	// dropped, so that the engine is tried again.
+	paceDecayInterval = 3 * time.Second
+	// announcedChange is the relative change from which a slowdown is announced again.
+	announcedChange = 0.3
 )
 
-// Pace is how many times longer than declared an engine takes.
+// Pace is how many times longer than declared an engine takes for its passes.
 type Pace struct {
 	Replica string  `cbor:"1,keyasint,omitempty"`
 	Times   float32 `cbor:"2,keyasint,omitempty"`
 }
 
-// learnPace compares the pass that has just ended with the engine's figures.
+// learnPace compares the pass that has just ended with the engine's declared figures. It ignores passes in which
+// anything was read.
 func (st *State) learnPace(eng *decl.Engine, rep *replica, pass time.Duration) {
 	if pass <= 0 || rep.reads() || st.now.Add(sameBoundary-pass).Before(rep.passes.readUntil) {
 		return
@@ -41,39 +44,39 @@
 		return
 	}
 	seen := ms(pass) / (float64(eng.Stride) * eng.StepTime(writers, contexts))
-	if seen < slowFrom {
+	if seen < minSlow {
 		seen = 1
 	}
 	rep.slow += paceGain * (min(seen, maxSlow) - rep.slow)
-	rep.pacedAt = st.now
-	if change := rep.slow/rep.slowTold - 1; change > paceTold || change < -paceTold {
-		rep.slowTold = rep.slow
-		st.tellPace(rep)
+	rep.slowSeenAt = st.now
+	if change := rep.slow/rep.announcedSlow - 1; change > announcedChange || change < -announcedChange {
+		rep.announcedSlow = rep.slow
+		st.announcePace(rep)
 	}
 }
 
-// tellPace tells those that use the replica too how slow it is.
-func (st *State) tellPace(rep *replica) {
-	st.emit(Line{Message: "pace changed", Replica: rep.Name, Times: rep.slow})
+// announcePace informs the instances that use the replica how slow it is.
+func (st *State) announcePace(rep *replica) {
+	st.emit(Line{Message: "replica slowdown changed", Replica: rep.Name, Times: rep.slow})
 	sub := st.audience(rep)
-	pend := st.pendingFor(sub, st.within(sub, gatherMost))
+	pend := st.pendingFor(sub, st.sendDelay(sub, maxBatchDelay))
 	pend.note.Paces = append(pend.note.Paces, Pace{Replica: rep.Name, Times: float32(rep.slow)})
 }
 
-// takePace takes what another instance has seen.
+// takePace applies the slowdown that another instance has observed.
 func (st *State) takePace(pace Pace) {
 	if rep, ok := st.replicas[pace.Replica]; ok {
 		rep.slow = min(max(1, float64(pace.Times)), maxSlow)
-		rep.slowTold = rep.slow
-		rep.pacedAt = st.now
+		rep.announcedSlow = rep.slow
+		rep.slowSeenAt = st.now
 	}
 }
 
-// forgetPace lets the pace of a replica that nobody has heard for a while come nearer to what it declares.
+// forgetPace halves the slowdown, beyond the factor of 1, of a replica that has not been observed for paceDecayInterval.
 func (rep *replica) forgetPace(now time.Time) {
-	if rep.slow > 1 && now.Sub(rep.pacedAt) > paceMemory {
+	if rep.slow > 1 && now.Sub(rep.slowSeenAt) > paceDecayInterval {
 		rep.slow = 1 + (rep.slow-1)/2
-		rep.slowTold = rep.slow
-		rep.pacedAt = now
+		rep.announcedSlow = rep.slow
+		rep.slowSeenAt = now
 	}
 }
--- a/internal/steer/pace_test.go
+++ b/internal/steer/pace_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// streaming returns an instance of two with one stream that writes at the engine, and the time.
+// streaming returns one of two instances, an engine at which a stream of it writes, and the time.
 func streaming(t *testing.T) (*State, *replica, time.Time) {
 	st := fleet{2, 3, 1}.instance(0)
 	now := fleetStart
@@ -26,23 +26,23 @@
 	return duration(float64(eng.Stride) * eng.StepTime(writers, contexts))
 }
 
-func TestSlowEngineShowsWhileItStreams(t *testing.T) {
-	// An engine turns four times slower without going down. What it is writing shows that at each event; known only at the end
-	// of a stream, seconds later, every request of that time is sent to it and pauses for longer than was promised. The others
-	// that use it are told.
+func TestSlowEngineIsDetectedDuringStreams(t *testing.T) {
+	// An engine becomes four times slower without going down, which each event of a stream shows. Guards against
+	// detecting it at the end of a stream only, seconds later: until then all requests would be sent to it and pause for
+	// longer than was promised. The other instances that use the engine are informed.
 	st, rep, now := streaming(t)
 	pass := 4 * declared(st, rep)
-	var told []Pace
+	var announced []Pace
 	for range 6 {
 		now = now.Add(pass)
 		for _, tell := range tells(st, now, Progressed{ID: 1, Attempt: 1, Pause: pass}) {
-			told = append(told, tell.Note.Paces...)
+			announced = append(announced, tell.Note.Paces...)
 		}
 	}
 	assert.Assert(t, rep.slow > 3 && rep.slow <= 4, rep.slow)
-	assert.Assert(t, len(told) > 1 && told[0].Replica == rep.Name)
+	assert.Assert(t, len(announced) > 1 && announced[0].Replica == rep.Name)
 	other := fleet{2, 3, 1}.instance(1)
-	other.Reduce(now, Heard{Note: Note{From: "instance-0", Run: 1, Paces: told}})
+	other.Reduce(now, Heard{Note: Note{From: "instance-0", Run: 1, Paces: announced}})
 	assert.Assert(t, other.replicas[rep.Name].slow > 2)
 	for id := range RequestID(3) {
 		st.Reduce(now, arrival(now, 10+id, 5000))
@@ -50,9 +50,9 @@
 	}
 }
 
-func TestWhatIsReadBesideIsNoSlowness(t *testing.T) {
-	// A prompt is read while others are written, and the pass takes three times as long. Taken for a slow engine, it would be
-	// avoided where it does what it declares.
+func TestPassThatReadsIsNotTakenForSlowness(t *testing.T) {
+	// A prompt is read while streams are written, and the pass takes three times as long. Guards against taking that for
+	// a slow engine, which would be avoided although it does what it declares.
 	st, rep, now := streaming(t)
 	job := Job{ID: 1, Replicas: []string{rep.Name}, Prompt: 20_000, Goal: 400, Gap: 300}
 	pass := declared(st, rep)
@@ -65,22 +65,23 @@
 	assert.Equal(t, rep.slow, 1.0)
 }
 
-func TestSlownessThatNobodySeesIsForgotten(t *testing.T) {
-	// An engine was slow, and nobody uses it for that. It is as fast as before again, which only a request can show: a little
-	// of its slowness is forgotten at a time until it is tried.
+func TestUnobservedSlownessDecays(t *testing.T) {
+	// An engine was slow, and therefore nobody uses it. Guards against avoiding it for ever: only a request can show
+	// that it has recovered, so the slowdown is reduced step by step until the engine is tried.
 	st := fleet{2, 3, 1}.instance(0)
 	rep := st.replicas["engine-0"]
 	st.Reduce(fleetStart, Heard{Note: Note{From: "instance-1", Run: 1, Paces: []Pace{{Replica: rep.Name, Times: 5}}}})
 	now := fleetStart
 	for range 6 {
-		now = now.Add(paceMemory + time.Second)
+		now = now.Add(paceDecayInterval + time.Second)
 		st.Reduce(now, arrival(now, RequestID(now.Unix()), 5000))
 	}
 	assert.Assert(t, rep.slow < 1.1, rep.slow)
 }
 
 func TestPaceFromTheNetworkIsBounded(t *testing.T) {
-	// A packet may hold anything. A pace of nothing or without end would let an engine look free or never be used again.
+	// Guards against arbitrary values in packets: a pace of zero would make an engine look free, a huge one would keep
+	// it from being used ever again.
 	for name, times := range map[string]float32{"none": 0, "below zero": -3, "endless": 1e30} {
 		t.Run(name, func(t *testing.T) {
 			st := fleet{2, 3, 1}.instance(0)
--- a/internal/steer/pass.go
+++ b/internal/steer/pass.go
@@ -8,48 +8,52 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// The passes of an engine. An engine works in passes: it reads what waited when the pass began, then everybody who writes
-// gets Stride tokens, and all events leave at its end. So a request that comes during a pass waits for its end, is read in
-// the next one together with all else that came meanwhile, and has its first event at the end of that; a stream pauses for
-// as long as the pass lasts in which others are read. The answers that begin tell when a pass has ended, at whichever
-// instance they begin; in between, passes are reckoned from what is known to be there. A first event is never earlier than
-// reckoned, and later by what comes to the engine meanwhile.
-
-// stage is how far an engine is with a job's part.
+// The passes of an engine. An engine works in passes: it reads what waited when the pass began, then each stream that it
+// writes gets Stride tokens, and all events are sent at the end of the pass. So a request that arrives during a pass
+// waits for its end, is read in the next one together with all else that arrived meanwhile, and has its first event at
+// the end of that; a stream pauses for as long as the pass lasts in which others are read. An answer that begins shows
+// that a pass has ended, at whichever instance it begins; in between, passes are estimated from the known work. A first
+// event is never earlier than estimated, and later by the work that reaches the engine meanwhile.
+
+// stage is how far an engine has got with its part of a job.
 type stage int
 
 const (
-	// stageWaits is a part that no pass has taken up, or not to its end.
+	// stageWaits is a part that no pass has begun to read, or that passes have read only in part.
 	stageWaits stage = iota
-	// stageReads is a part that the pass under way reads.
+	// stageReads is a part that the current pass reads.
 	stageReads
 	// stageRead is a part that is read, whose answer begins when the parts of others are.
 	stageRead
 )
 
 const (
-	// sameBoundary is how far apart the answers come that begin with one pass.
+	// sameBoundary is the longest time between two answers that begin with the same pass.
 	sameBoundary = 5 * time.Millisecond
-	// leastExtension keeps an overdue pass from being extended again and again by next to nothing.
-	leastExtension = 3 * time.Millisecond
-	// leastPass is a pass of an engine that declares no time for its steps: without it time would stand still.
-	leastPass = 100 * time.Microsecond
-	// finished is the part of a reading that counts as none.
-	finished = 1e-6
+	// minExtension is the shortest extension of an overdue pass. Without it, the pass would be extended again and again
+	// by next to nothing.
+	minExtension = 3 * time.Millisecond
+	// minPass is the length of a pass of an engine that declares no time for its steps. Passes without length would keep
+	// advance in its loop for ever.
+	minPass = 100 * time.Microsecond
+	// negligibleShare is the share of a reading that counts as nothing left to read.
+	negligibleShare = 1e-6
 )
 
-// passes is an engine's pass under way; its zero value is an idle engine.
+// passes is the current pass of an engine. The zero value is an idle engine.
 type passes struct {
-	// from and end are when the pass began and when it should end.
-	from, end time.Time
+	// from is when the pass began.
+	from time.Time
+	// end is when the pass should end.
+	end time.Time
 	// readUntil is the end of the last pass in which anything was read.
 	readUntil time.Time
 }
 
 func (ps *passes) idle() bool { return ps.end.IsZero() }
 
-// writing counts the requests that write once the pass under way has ended, and their contexts; now only those that write
-// in it.
+// writing counts the requests that write, and sums up their contexts in tokens: of the current pass if now is set,
+// otherwise once it has ended.
 func (rep *replica) writing(now bool) (count int, contexts int64) {
 	for i := range rep.works {
 		wk := &rep.works[i]
@@ -61,34 +65,35 @@
 	return count, contexts
 }
 
-// advance brings the reckoned passes up to now.
+// advance moves the estimated passes forward up to now.
 func (rep *replica) advance(eng *decl.Engine, tune *Tuning, now time.Time) {
 	for !rep.passes.idle() && !now.Before(rep.passes.end) {
 		if rep.overdue() {
 			length := rep.passes.end.Sub(rep.passes.from)
-			rep.passes.end = now.Add(max(leastExtension, time.Duration(tune.OverdueShare*float64(length))))
+			rep.passes.end = now.Add(max(minExtension, time.Duration(tune.OverdueShare*float64(length))))
 			rep.passes.readUntil = rep.passes.end
 			return
 		}
 		rep.endPass()
 		rep.startPass(eng, rep.passes.end)
-		rep.skipPasses(now)
+		rep.skipIdlePasses(now)
 	}
 }
 
-// overdue tells that an answer should have begun with the end of the pass: the engine is later than was reckoned, not idle.
+// overdue reports whether an answer should have begun at the end of the pass: the engine is later than estimated, not
+// idle.
 func (rep *replica) overdue() bool {
 	for i := range rep.works {
 		wk := &rep.works[i]
-		if wk.stage == stageReads && wk.first && wk.alone && !wk.begun && wk.taken >= 1-finished {
+		if wk.stage == stageReads && wk.first && wk.alone && !wk.begun && wk.passShare >= 1-negligibleShare {
 			return true
 		}
 	}
 	return false
 }
 
-// skipPasses passes over those in which nothing is read, which are alike.
-func (rep *replica) skipPasses(now time.Time) {
+// skipIdlePasses skips the passes in which nothing is read, which are all alike.
+func (rep *replica) skipIdlePasses(now time.Time) {
 	length := rep.passes.end.Sub(rep.passes.from)
 	if rep.passes.idle() || length <= 0 || rep.reads() {
 		return
@@ -99,12 +104,13 @@
 	}
 }
 
-// reads tells that anything is read or waits for it.
+// reads reports whether anything is being read or waits to be read.
 func (rep *replica) reads() bool {
 	return slices.ContainsFunc(rep.works, func(wk work) bool { return !wk.begun && wk.stage != stageRead })
 }
 
-// startPass begins a pass with all that waits. Parts for others' prompts go first, the newest of them before the others.
+// startPass begins a pass with everything that waits. The parts of prompts that other engines answer come first, the
+// newest of them before the others.
 func (rep *replica) startPass(eng *decl.Engine, at time.Time) {
 	writers, contexts := rep.writing(true)
 	budget := math.Inf(1)
@@ -124,14 +130,14 @@
 				continue
 			}
 			wk.stage = stageReads
-			wk.taken = 1
+			wk.passShare = 1
 			if wk.left.Steps > budget {
-				wk.taken = budget / wk.left.Steps
+				wk.passShare = budget / wk.left.Steps
 			}
 			budget -= wk.left.Steps
-			length += wk.left.Time * wk.taken
+			length += wk.left.Time * wk.passShare
 			if writers == 0 {
-				length += (wk.left.Steps*wk.taken + 0.5) * eng.Step
+				length += (wk.left.Steps*wk.passShare + 0.5) * eng.Step
 			}
 			taken = true
 		}
@@ -140,29 +146,30 @@
 		rep.passes = passes{readUntil: rep.passes.readUntil}
 		return
 	}
-	rep.passes.from, rep.passes.end = at, at.Add(max(leastPass, duration(length*rep.slow)))
+	rep.passes.from, rep.passes.end = at, at.Add(max(minPass, duration(length*rep.slow)))
 	if taken {
 		rep.passes.readUntil = rep.passes.end
 	}
 }
 
-// endPass takes what the pass has read from what is to be read.
+// endPass subtracts what the pass has read from what is left to read.
 func (rep *replica) endPass() {
 	for i := range rep.works {
 		wk := &rep.works[i]
 		if wk.stage != stageReads {
 			continue
 		}
-		wk.left = wk.left.Times(1 - wk.taken)
+		wk.left = wk.left.Times(1 - wk.passShare)
 		wk.stage = stageWaits
-		if wk.taken >= 1-finished {
+		if wk.passShare >= 1-negligibleShare {
 			wk.left = decl.Reading{}
 			wk.stage = stageRead
 		}
 	}
 }
 
-// boundary notes that a pass has ended, since an answer began.
+// boundary records that a pass has ended, as an answer that begins or an event of a stream shows. It ignores those that
+// belong to the end of the pass before.
 func (rep *replica) boundary(eng *decl.Engine, now time.Time) {
 	if !rep.passes.idle() && now.Sub(rep.passes.from) < sameBoundary {
 		return
@@ -171,18 +178,23 @@
 	rep.startPass(eng, now)
 }
 
-// outlook is what a request finds that is sent to an engine now.
+// outlook is the estimate for a request that is sent to an engine now.
 type outlook struct {
-	// left is the rest of the pass under way in ms, under the reading in it.
-	left, under float64
-	// waits is what waits for the next one.
+	// left is the rest of the current pass in ms.
+	left float64
+	// readingInPass is the reading of the current pass in ms.
+	readingInPass float64
+	// waits is the reading that waits for the next pass.
 	waits decl.Reading
-	// step is one step of those who write, stride the steps of a pass, 0 where nobody writes.
-	step, stride float64
-	slow         float64
+	// step is the time in ms of one step with the requests that write.
+	step float64
+	// stride is the number of steps of a pass, 0 if no request writes.
+	stride float64
+	// slow is replica.slow.
+	slow float64
 }
 
-// outlook reckons what comes after the pass under way.
+// outlook estimates what follows the current pass.
 func (rep *replica) outlook(eng *decl.Engine, tune *Tuning, now time.Time) outlook {
 	rep.forgetPace(now)
 	rep.advance(eng, tune, now)
@@ -197,8 +209,8 @@
 		case wk.stage == stageWaits:
 			out.waits = out.waits.Plus(wk.left)
 		default:
-			out.under += wk.left.Time * wk.taken
-			out.waits = out.waits.Plus(wk.left.Times(1 - wk.taken))
+			out.readingInPass += wk.left.Time * wk.passShare
+			out.waits = out.waits.Plus(wk.left.Times(1 - wk.passShare))
 		}
 	}
 	writers, contexts := rep.writing(false)
@@ -209,27 +221,27 @@
 	return out
 }
 
-// backlog is the reading in ms that is under way or waits.
+// backlog is the reading in ms that is in progress or waits.
 func (out *outlook) backlog() float64 {
-	return min(out.left, out.under*out.slow) + out.waits.Time*out.slow
+	return min(out.left, out.readingInPass*out.slow) + out.waits.Time*out.slow
 }
 
-// first is the time in ms until the first event of a request with so much to read.
+// first is the time in ms until the first event of a request with the reading.
 func (out *outlook) first(rd decl.Reading) float64 {
 	all := out.waits.Plus(rd)
 	if out.stride == 0 {
 		return out.left + out.slow*(all.Time+(all.Steps+1)*out.step)
 	}
-	count := math.Ceil(max(finished, all.Steps/out.stride))
+	count := math.Ceil(max(negligibleShare, all.Steps/out.stride))
 	return out.left + out.slow*(all.Time+count*out.stride*out.step)
 }
 
-// help is the time in ms until a part for another one's prompt is read.
-func (out *outlook) help(rd decl.Reading) float64 {
+// partRead is the time in ms until a part of a prompt is read that another engine answers.
+func (out *outlook) partRead(rd decl.Reading) float64 {
 	if out.stride == 0 {
 		return out.left + out.slow*(rd.Time+(rd.Steps+1)*out.step)
 	}
-	count := math.Ceil(max(finished, rd.Steps/out.stride))
+	count := math.Ceil(max(negligibleShare, rd.Steps/out.stride))
 	beside := 0.0
 	if out.waits.Steps > 0 {
 		beside = out.waits.Time * min(1, max(0, count*out.stride-rd.Steps)/out.waits.Steps)
@@ -237,7 +249,7 @@
 	return out.left + out.slow*(rd.Time+beside+count*out.stride*out.step)
 }
 
-// pause is the longest pass in ms that follows, with so much more to read.
+// pause is the longest of the next passes in ms if the reading is added to what waits, 0 if no request writes.
 func (out *outlook) pause(rd decl.Reading) float64 {
 	if out.stride == 0 {
 		return 0
--- a/internal/steer/pass_test.go
+++ b/internal/steer/pass_test.go
@@ -10,7 +10,7 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// estimate brings a request and returns the reckoned time to its first event.
+// estimate lets a request arrive and returns the estimated time until its first event.
 func (in *instance) estimate(route *decl.Route, prompt int64) time.Duration {
 	in.t.Helper()
 	in.next++
@@ -28,12 +28,12 @@
 }
 
 func TestEstimateCountsThePassUnderWay(t *testing.T) {
-	// The only engine writes a stream, an event of which has just come: a pass of some 44 ms has begun. What comes now waits
-	// for all of it, what comes 30 ms later for the rest. Reckoned as reading alone both had the same estimate, and a
-	// request just after an event was late where it was reckoned to be in time.
+	// The only engine writes a stream, an event of which has just come, so a pass of about 44 ms has begun. What arrives
+	// now waits for all of it, what arrives 30 ms later for the rest. Guards against estimates from the reading alone,
+	// which are the same for both: a request just after an event would be late although it was estimated to be in time.
 	cases := map[string]struct {
-		after       time.Duration
-		least, most time.Duration
+		after        time.Duration
+		lower, upper time.Duration
 	}{
 		"at the start of a pass": {time.Millisecond, 115 * time.Millisecond, 123 * time.Millisecond},
 		"near its end":           {31 * time.Millisecond, 85 * time.Millisecond, 93 * time.Millisecond},
@@ -48,14 +48,14 @@
 			in.reduce(steer.Progressed{ID: sent.ID, Attempt: 1})
 			in.now = in.now.Add(tc.after)
 			estimate := in.estimate(&short, 5000)
-			assert.Assert(t, estimate > tc.least && estimate < tc.most, estimate)
+			assert.Assert(t, estimate > tc.lower && estimate < tc.upper, estimate)
 		})
 	}
 }
 
 func TestEngineThatDeclaresNoTime(t *testing.T) {
-	// An operator declares an engine whose steps take no time. Its passes have no length, and the reducer, which goes from
-	// one to the next until now, went on for ever with the instance's lock held.
+	// An operator declares an engine whose steps take no time. Guards against passes without length: the reducer, which
+	// advances from one to the next until now, would never return while it holds the instance's lock.
 	in := newInstance(t, "one", 1)
 	timeless := figures
 	timeless.Step, timeless.PerWriter, timeless.PerContext = 0, 0, 0
@@ -66,10 +66,10 @@
 	find[steer.Send](t, in.arrive(&short, 5000))
 }
 
-func TestReadsThatMeetInOnePassCountTogether(t *testing.T) {
-	// The engine writes a stream that may pause a quarter of a second. Another instance has just sent it 120 ms of reading,
-	// which waits for the next pass. 90 ms more are harmless alone, but in the same pass the stream would pause for too
-	// long: they go to the other engine, though that one is farther away.
+func TestReadsInOnePassAddUp(t *testing.T) {
+	// The engine writes a stream that may pause for a quarter of a second. Another instance has just sent it 120 ms of
+	// reading, which waits for the next pass. Guards against pricing 90 ms more alone, which are harmless: in the same
+	// pass the stream would pause for too long. They go to the other engine, although that is in another failure domain.
 	in := newInstance(t, "one", 1)
 	list := replicas(2)
 	list[1].FailureDomain = "b"
@@ -84,10 +84,10 @@
 	assert.Equal(t, sent.Replica.Name, "lyric-1")
 }
 
-func TestEngineThatAnswersALongPromptIsKeptForIt(t *testing.T) {
-	// Two engines read a long prompt, and the reading takes 5% longer than reckoned. A part of another prompt that is sent
-	// meanwhile is read before what is left: the first prompt's answer then came 1.4 s late. The engine that answers it is
-	// kept until the answer begins.
+func TestEngineThatAnswersALongPromptTakesNoOtherPart(t *testing.T) {
+	// The engine reads a long prompt, and the reading takes longer than estimated. Guards against sending it a part of
+	// another prompt meanwhile, which is read before the rest, so that the first prompt's answer begins far too late
+	// (1.4 s for a reading that took 5% longer). The engine takes no other prompt until the answer begins.
 	in := newInstance(t, "one", 1)
 	first := find[steer.Send](t, in.arrive(&long, 100_000))
 	none[steer.Send](t, in.arrive(&long, 60_000))
--- a/internal/steer/place.go
+++ b/internal/steer/place.go
@@ -7,37 +7,43 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Placement. Each choice is priced in the worth of answers that it would make late: the request's own and those of the
+// Placement. Each plan is priced by the value of the answers that it would make late: the request's own and those of the
 // callers whose streams would pause while an engine reads for it. Load pattern: short prompts whose streams may pause
-// a quarter of a second share the engines with prompts that an engine reads for seconds, in a mix that turns several
-// times a minute, so that no fixed part of the engines is right for either.
+// for a quarter of a second share the engines with prompts that an engine reads for seconds, in a mix that changes
+// several times a minute, so that no fixed partition of the engines fits both.
 
-// plan is where a request goes.
+// plan is the placement of a request.
 type plan struct {
+	// reps has the replica that answers first, then its helpers.
 	reps []*replica
-	// tickets holds how many tokens each of the helpers sets aside, nil if the first replica holds all.
+	// tickets holds how many tokens of memory each helper reserves, nil if the first replica holds all.
 	tickets []int64
-	// part is the reading of each in ms.
+	// part is the reading of each replica in ms.
 	part float64
-	// first is the estimated time to the first byte in ms, cost the worth lost, bias what parts plans besides.
-	first, cost, bias float64
+	// first is the estimated time to the first byte in ms.
+	first float64
+	// cost is the value that callers lose.
+	cost float64
+	// spreadCost counts in the choice between plans only, since no caller loses it.
+	spreadCost float64
 }
 
-// placeAt places the request at one replica alone, or returns false if that has no room.
+// placeAt returns the plan with the one replica alone, or false if it has no room.
 func (st *State) placeAt(req *request, rep *replica) (plan, bool) {
 	svc := st.serviceOf(rep.Service)
 	if svc.engine == nil {
 		return plan{reps: []*replica{rep}}, len(rep.works) < rep.Slots+plainQueue
 	}
 	cand := st.candidateOf(svc, req, rep)
-	cand.slot = rep.freeSlots() > 0
+	cand.canAnswer = rep.freeSlots() > 0
 	return st.planFor(svc.engine, req, []candidate{cand}, 1, st.pricesOf(svc))
 }
 
-// engineCounts are the numbers of engines that may read one prompt.
+// engineCounts are the numbers of engines that are considered for reading one prompt.
 var engineCounts = []int{1, 2, 3, 4, 6, 8, 10, 12, 14, 16}
 
-// place finds the best plan, or false if no replica has room.
+// place returns the cheapest plan, or false if no replica has room or an engine's plan costs more than the request may
+// cost now.
 func (st *State) place(req *request) (plan, bool) {
 	svc := st.services[req.service]
 	if svc == nil {
@@ -49,10 +55,11 @@
 	return st.placePrompt(svc, req)
 }
 
-// placePlain takes the replica with the fewest requests, a near one of several.
+// placePlain picks the plain replica with the fewest requests, with a preference for one in the same failure domain. A
+// slow replica, recent failures and a wait for a rate limit count as further requests.
 func (st *State) placePlain(svc *service, req *request) (plan, bool) {
 	var best *replica
-	var least float64
+	var minCost float64
 	for _, rep := range st.candidates(svc) {
 		if !rep.usable(st.now) || slices.Contains(req.tried, rep.Name) {
 			continue
@@ -66,8 +73,8 @@
 			cost += 0.5
 		}
 		cost += 0.1 * st.random.Float64()
-		if best == nil || cost < least {
-			best, least = rep, cost
+		if best == nil || cost < minCost {
+			best, minCost = rep, cost
 		}
 	}
 	if best == nil {
@@ -76,46 +83,55 @@
 	return plan{reps: []*replica{best}}, true
 }
 
-// plainQueue is how many requests may wait at a plain replica beyond its slots; more wait here, in order of urgency.
+// plainQueue is how many requests may wait at a plain replica beyond its slots. More wait here, in order of urgency.
 const plainQueue = 2
 
-// waitCost is how many calls under way at a plain replica count for as much as a wait of a second for its rate limit.
+// waitCost is the number of calls in progress at a plain replica that cost as much as a wait of one second for its rate
+// limit.
 const waitCost = 20
 
-// candidate is one engine as a request finds it, whatever part of the reading it would have.
+// candidate is an engine that a request may use, whatever part of the reading it would get.
 type candidate struct {
-	rep *replica
-	out outlook
-	// reads tells that it reads a long prompt and takes no part of another.
-	reads bool
-	// bias makes the engine less of a choice without costing any caller anything, spread does if it answers.
-	bias, spread float64
-	// slot tells that it has room to answer, and not only to help; free is its free memory in tokens.
-	slot bool
-	free int64
-	// limited tells that it names a rate limit. Each part of a prompt and each order for its memory would count, so that it
-	// helps with no prompt.
+	rep      *replica
+	estimate outlook
+	// readsLong is set while the engine reads a long prompt. It takes no part of another one then.
+	readsLong bool
+	// penalty makes the engine less attractive without costing any caller anything.
+	penalty float64
+	// spreadCost does the same if the engine is the one that answers.
+	spreadCost float64
+	// canAnswer is set if the engine has a slot to answer, and not only room to help.
+	canAnswer bool
+	// freeTokens is the free memory in tokens.
+	freeTokens int64
+	// limited is set while the engine names a rate limit. Each part of a prompt and each order for its memory would
+	// count against that limit, so the engine helps with no prompt.
 	limited bool
 }
 
-// option is a candidate with a part of the reading.
-type option struct {
+// quote is what a candidate costs with a given part of the reading.
+type quote struct {
 	*candidate
-	// harm is what the callers of its other requests lose in worth.
+	// harm is the value that the callers of its other requests lose.
 	harm float64
-	// wait is the time in ms until the answer would begin or the part be read if it answers, waitHelp if it helps.
-	wait, waitHelp float64
-	// late is the request's own worth lost if it is answered here and begins late, pauses that lost by its pauses.
-	late, pauses float64
+	// answerTime is the time in ms until the answer would begin if the engine answers.
+	answerTime float64
+	// helperTime is the time in ms until the part would be read if the engine helps.
+	helperTime float64
+	// latenessLoss is the request's own value that is lost if the engine answers and begins late.
+	latenessLoss float64
+	// pauseLoss is the request's own value that is lost by the pauses of its stream.
+	pauseLoss float64
 }
 
-// asHelper and asFirst are what the engine costs in the one and the other part.
-func (opt *option) asHelper(idle float64) float64 {
-	return opt.harm + opt.bias + idle*opt.waitHelp/1000
+// helperCost is the cost of the engine as a helper, where idle is the price of a second of engine time.
+func (qt *quote) helperCost(idle float64) float64 {
+	return qt.harm + qt.penalty + idle*qt.helperTime/1000
 }
 
-func (opt *option) asFirst(idle float64) float64 {
-	return opt.harm + opt.late + opt.pauses + opt.bias + opt.spread + idle*opt.wait/1000
+// answerCost is the cost of the engine that answers, where idle is the price of a second of engine time.
+func (qt *quote) answerCost(idle float64) float64 {
+	return qt.harm + qt.latenessLoss + qt.pauseLoss + qt.penalty + qt.spreadCost + idle*qt.answerTime/1000
 }
 
 func (st *State) placePrompt(svc *service, req *request) (plan, bool) {
@@ -125,28 +141,29 @@
 	var best plan
 	found := false
 	for _, count := range engineCounts {
-		if count > 1 && (count > st.mostEngines(eng) || eng.Reading(req.Prompt, 1).Alone(eng) < st.tune.MinSplit*float64(count)) {
+		if count > 1 && (count > st.maxEngines(eng) || eng.Reading(req.Prompt, 1).Alone(eng) < st.tune.MinSplit*float64(count)) {
 			break
 		}
 		pl, ok := st.planFor(eng, req, engines, count, price)
 		if !ok {
 			continue
 		}
-		if !found || pl.cost+pl.bias < best.cost+best.bias {
+		if !found || pl.cost+pl.spreadCost < best.cost+best.spreadCost {
 			best, found = pl, true
 		}
 	}
-	return best, found && best.cost < req.value*st.urgency(req, &best)
+	return best, found && best.cost < req.value*st.maxCostShare(req, &best)
 }
 
-// mostEngines is how many engines may read one prompt together.
-func (st *State) mostEngines(eng *decl.Engine) int { return min(eng.Helpers+1, st.tune.MaxEngines) }
+// maxEngines is how many engines may read one prompt together.
+func (st *State) maxEngines(eng *decl.Engine) int { return min(eng.Helpers+1, st.tune.MaxEngines) }
 
-// urgency is the part of its worth that a request may cost now. One that can wait and still be in time takes only a cheap
-// place: engines that are busy or write for callers who may not wait are often free a moment later.
-func (st *State) urgency(req *request, pl *plan) float64 {
+// maxCostShare is the share of its value that a request may cost now. A request that can wait and still be in time takes
+// only a cheap placement: engines that are busy, or write for callers that tolerate no pause, are often free a moment
+// later.
+func (st *State) maxCostShare(req *request, pl *plan) float64 {
 	if float64(len(pl.reps))*pl.part <= st.tune.LongRead {
-		// A short one has no time to wait for a better moment.
+		// A short read has no time to wait for a better moment.
 		return 1
 	}
 	spare := st.tune.Safety*ms(req.Route.Goal.Std()) - pl.first
@@ -154,34 +171,34 @@
 	if spare <= 0 || age >= spare {
 		return 1
 	}
-	return st.tune.CalmShare + (1-st.tune.CalmShare)*age/spare
+	return st.tune.MinCostShare + (1-st.tune.MinCostShare)*age/spare
 }
 
-// planFor reckons the request read by so many engines.
+// planFor returns the cheapest plan for reading the request on count engines, or false if there is none.
 func (st *State) planFor(eng *decl.Engine, req *request, engines []candidate, count int, price prices) (plan, bool) {
 	part := eng.Reading(req.Prompt, count)
-	options := st.options(eng, req, engines, part, count)
-	slices.SortStableFunc(options, func(one, two option) int { return cmp.Compare(one.asHelper(price.idle), two.asHelper(price.idle)) })
-	first := firstOf(eng, req, options, price.idle)
-	if first < 0 || len(options) < count {
+	quotes := st.quotes(eng, req, engines, part, count)
+	slices.SortStableFunc(quotes, func(a, b quote) int { return cmp.Compare(a.helperCost(price.idle), b.helperCost(price.idle)) })
+	first := answeringEngine(eng, req, quotes, price.idle)
+	if first < 0 || len(quotes) < count {
 		return plan{}, false
 	}
-	pl := plan{part: part.Alone(eng), reps: []*replica{options[first].rep}}
-	pl.cost, pl.first = options[first].harm+options[first].pauses, options[first].wait
-	pl.bias = options[first].spread
-	missing := req.tokens() - options[first].free
-	for i := range options {
+	pl := plan{part: part.Alone(eng), reps: []*replica{quotes[first].rep}}
+	pl.cost, pl.first = quotes[first].harm+quotes[first].pauseLoss, quotes[first].answerTime
+	pl.spreadCost = quotes[first].spreadCost
+	missing := req.tokens() - quotes[first].freeTokens
+	for i := range quotes {
 		if len(pl.reps) == count {
 			break
 		}
-		if i == first || options[i].rep.helping() >= options[i].rep.Slots {
+		if i == first || quotes[i].rep.helping() >= quotes[i].rep.Slots {
 			continue
 		}
-		pl.reps = append(pl.reps, options[i].rep)
-		pl.cost += options[i].harm
-		pl.first = max(pl.first, options[i].waitHelp)
+		pl.reps = append(pl.reps, quotes[i].rep)
+		pl.cost += quotes[i].harm
+		pl.first = max(pl.first, quotes[i].helperTime)
 		if missing > 0 {
-			ticket := min(missing, options[i].free)
+			ticket := min(missing, quotes[i].freeTokens)
 			pl.tickets = append(pl.tickets, ticket)
 			missing -= ticket
 		}
@@ -211,83 +228,84 @@
 			continue
 		}
 		cand := st.candidateOf(svc, req, rep)
-		cand.out.left += ms(wait)
-		cand.slot = rep.running() < svc.engine.Slots && st.myTurn(rep, req, rivals)
+		cand.estimate.left += ms(wait)
+		cand.canAnswer = rep.running() < svc.engine.Slots && st.myTurn(rep, req, rivals)
 		engines = append(engines, cand)
 	}
 	return engines
 }
 
-// candidateOf is the replica as the request finds it, without its slots.
+// candidateOf returns the replica as a candidate for the request. The caller decides whether it can answer.
 func (st *State) candidateOf(svc *service, req *request, rep *replica) candidate {
-	cand := candidate{rep: rep, limited: rep.limit != nil, out: rep.outlook(svc.engine, &st.tune, st.now), free: rep.free(svc.engine)}
-	cand.reads = st.readsLong(rep, &cand.out)
-	cand.spread = st.tune.spread(rep, req)
-	cand.bias = st.tune.Crowding * st.random.Float64()
+	cand := candidate{rep: rep, limited: rep.limit != nil, estimate: rep.outlook(svc.engine, &st.tune, st.now), freeTokens: rep.free(svc.engine)}
+	cand.readsLong = st.readsLong(rep, &cand.estimate)
+	cand.spreadCost = st.tune.spread(rep, req)
+	cand.penalty = st.tune.Crowding * st.random.Float64()
 	if rep.FailureDomain != st.Options.FailureDomain {
-		cand.bias += st.tune.FarCost
+		cand.penalty += st.tune.FarCost
 	}
 	if cand.limited && st.now.Sub(rep.limit.heard) > limitStale {
-		cand.bias -= probeGain
+		cand.penalty -= probeGain
 	}
 	return cand
 }
 
-// options prices a part of so much reading at each engine.
-func (st *State) options(eng *decl.Engine, req *request, engines []candidate, part decl.Reading, count int) []option {
-	options := make([]option, 0, len(engines))
+// quotes prices a part of the reading at each engine.
+func (st *State) quotes(eng *decl.Engine, req *request, engines []candidate, part decl.Reading, count int) []quote {
+	quotes := make([]quote, 0, len(engines))
 	long := part.Alone(eng) > st.tune.LongRead
 	for i := range engines {
 		cand := &engines[i]
-		if long && cand.reads || cand.limited && count > 1 {
+		if long && cand.readsLong || cand.limited && count > 1 {
 			continue
 		}
-		opt := option{candidate: cand, wait: cand.out.first(part), waitHelp: cand.out.help(part)}
-		opt.late = st.lateness(req, opt.wait)
-		opt.pauses = st.ownPauses(eng, req, &cand.out)
-		opt.harm = st.harm(cand.rep, &cand.out, part)
-		options = append(options, opt)
+		qt := quote{candidate: cand, answerTime: cand.estimate.first(part), helperTime: cand.estimate.partRead(part)}
+		qt.latenessLoss = st.lateness(req, qt.answerTime)
+		qt.pauseLoss = st.ownPauses(eng, req, &cand.estimate)
+		qt.harm = st.harm(cand.rep, &cand.estimate, part)
+		quotes = append(quotes, qt)
 	}
-	return options
+	return quotes
 }
 
-// memoryShare is the part of an engine's memory that is counted on: it is given out in blocks.
+// memoryShare is the share of an engine's memory that can be relied on, since engines allocate memory in blocks.
 const memoryShare = 0.97
 
-// free is the memory in tokens that nothing known here takes.
+// free is the memory in tokens that no known work holds.
 func (rep *replica) free(eng *decl.Engine) int64 {
-	return max(0, int64(memoryShare*float64(eng.Memory))-rep.held())
+	return max(0, int64(memoryShare*float64(eng.Memory))-rep.usedTokens())
 }
 
-// readsLong tells that the replica is reading a long prompt or a part of one and will not be done soon. An engine reads
-// the part that came last before all others, so that parts that keep coming hold back the earlier ones until the load
-// falls; what waits here keeps its order.
+// readsLong reports whether the replica is reading a long prompt, or a part of one, and will not be done soon. An engine
+// reads the newest part before all others, so a sequence of new parts would hold back the earlier ones until the load
+// falls. Requests that wait at the instance keep their order.
 func (st *State) readsLong(rep *replica, out *outlook) bool {
 	for i := range rep.works {
 		wk := &rep.works[i]
 		if !wk.long || wk.begun || !wk.first && wk.stage == stageRead {
 			continue
 		}
-		if wk.first || wk.stage == stageWaits || wk.taken < 1 || out.left > 0 {
+		if wk.first || wk.stage == stageWaits || wk.passShare < 1 || out.left > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// tokens is the memory that the request needs.
+// tokens is the memory in tokens that the request needs.
 func (req *request) tokens() int64 { return req.Prompt + req.Answer }
 
-// firstOf returns the place of the engine that should answer, -1 if none can. A request that fits into one engine waits
-// for one that has the memory; a larger one takes what there is, and its helpers set the rest aside.
-func firstOf(eng *decl.Engine, req *request, options []option, idle float64) int {
+// answeringEngine returns the index of the engine that should answer, or -1 if none can. A request that fits into one
+// engine waits for one that has the memory. A larger one takes the memory that there is, and its helpers reserve the
+// rest.
+func answeringEngine(eng *decl.Engine, req *request, quotes []quote, idle float64) int {
 	first := -1
 	large := req.tokens() > int64(memoryShare*float64(eng.Memory))
-	for i := range options {
-		if !options[i].slot || !large && options[i].free < req.tokens() {
+	for i := range quotes {
+		if !quotes[i].canAnswer || !large && quotes[i].freeTokens < req.tokens() {
 			continue
 		}
-		if first < 0 || options[i].asFirst(idle) < options[first].asFirst(idle) {
+		if first < 0 || quotes[i].answerCost(idle) < quotes[first].answerCost(idle) {
 			first = i
 		}
 	}
--- a/internal/steer/place_test.go
+++ b/internal/steer/place_test.go
@@ -14,9 +14,9 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-func TestLongPromptIsReadBySeveral(t *testing.T) {
-	// A prompt of 154,000 tokens takes one engine three seconds to read, as long as its caller was promised. Idle engines
-	// read it together.
+func TestLongPromptIsReadBySeveralEngines(t *testing.T) {
+	// A prompt of 154,000 tokens takes one engine three seconds to read, as long as its caller was promised. Guards
+	// against leaving it to one engine while others are idle.
 	in := newInstance(t, "one", 8)
 	sent := find[steer.Send](t, in.arrive(&long, 154_000))
 	assert.Assert(t, len(sent.Helpers) >= 2, len(sent.Helpers))
@@ -26,20 +26,22 @@
 }
 
 func TestPromptLargerThanAnEngine(t *testing.T) {
-	// A prompt of 400,000 tokens does not fit into one engine's 315,000. Helpers set aside what the first one lacks.
+	// A prompt of 400,000 tokens does not fit into the 315,000 of one engine. The helpers must reserve the memory that
+	// the first engine lacks.
 	in := newInstance(t, "one", 8)
 	sent := in.within(time.Second, in.arrive(&long, 400_000))
-	var set int64
+	var reserved int64
 	for _, helper := range sent.Helpers {
 		assert.Assert(t, helper.Tokens <= figures.Memory)
-		set += helper.Tokens
+		reserved += helper.Tokens
 	}
-	assert.Assert(t, set >= 401_000-figures.Memory, set)
+	assert.Assert(t, reserved >= 401_000-figures.Memory, reserved)
 }
 
-func TestLongReadKeepsOffImpatientStreams(t *testing.T) {
-	// Two engines write short streams that may pause a quarter of a second. A long prompt arrives, whose reading takes
-	// each of its engines longer than that: it goes to the others, and no stream is late by it.
+func TestLongReadAvoidsEnginesOfShortGapStreams(t *testing.T) {
+	// Some engines write short streams that may pause for a quarter of a second. Guards against sending a long prompt
+	// there, whose reading takes each of its engines longer than that and makes the streams late. It goes to the other
+	// engines.
 	in := newInstance(t, "one", 6)
 	busy := map[string]bool{}
 	for range 12 {
@@ -57,8 +59,9 @@
 }
 
 func TestOneLongReadAtATime(t *testing.T) {
-	// An engine reads the part that came last before all others. Were the second long prompt sent to engines that still
-	// read the first, the first would begin after the second, or after all that follow; it waits instead.
+	// An engine reads the newest part before all others. Guards against sending the second long prompt to engines that
+	// still read the first, whose answer would then begin after the second, or after all that follow. The second one
+	// waits instead.
 	in := newInstance(t, "one", 1)
 	first := find[steer.Send](t, in.arrive(&long, 100_000))
 	none[steer.Send](t, in.arrive(&long, 40_000))
@@ -66,8 +69,8 @@
 	find[steer.Send](t, in.reduce(steer.Began{ID: first.ID, Attempt: 1}))
 }
 
-func TestOthersWorkCounts(t *testing.T) {
-	// Another instance has sent a long prompt to engine 0. This one has heard of it and takes the other engine.
+func TestWorkOfOtherInstancesCounts(t *testing.T) {
+	// Another instance has sent a long prompt to engine 0 and announced it. This instance must use the other engine.
 	in := newInstance(t, "one", 2)
 	in.reduce(steer.Heard{Note: steer.Note{From: "two", Run: 1, Jobs: []steer.Job{{
 		ID: 1, Replicas: []string{"lyric-0"}, Prompt: 154_000, Answer: 1000, Goal: 3000, Gap: 1000, Value: 20,
@@ -77,9 +80,9 @@
 	assert.Equal(t, len(sent.Helpers), 0)
 }
 
-func TestSilentInstancesWorkIsForgotten(t *testing.T) {
-	// An instance dies with work under way. Its engines drop that with its connections, and after a few seconds nobody
-	// counts it any longer.
+func TestWorkOfSilentInstanceExpires(t *testing.T) {
+	// An instance dies with work in progress, which its engines drop with its connections. Guards against counting that
+	// work any longer than a few seconds.
 	in := newInstance(t, "one", 1)
 	in.reduce(steer.Heard{Note: steer.Note{From: "two", Run: 1, Jobs: []steer.Job{{
 		ID: 1, Replicas: []string{"lyric-0"}, Prompt: 300_000, Answer: 1000, Goal: 3000, Gap: 1000, Value: 20,
@@ -88,21 +91,21 @@
 	find[steer.Send](t, append(in.pass(4100*time.Millisecond), in.arrive(&long, 90_000)...))
 }
 
-func TestFewTakeTheOneSlotThatIsFree(t *testing.T) {
-	// Twelve instances have a request waiting while every slot of the only engine is taken, and hear of the one that
-	// becomes free at the same moment. If all took it, the engine would have twelve requests too many, whose callers wait
-	// behind each other; on average one does.
+func TestFewInstancesTakeTheOneFreeSlot(t *testing.T) {
+	// Twelve instances have a request waiting while every slot of the only engine is taken, and learn at the same moment
+	// of the one that becomes free. Guards against all of them taking it: the engine would have twelve requests too
+	// many, whose callers wait behind each other. On average one instance takes it.
 	const instances = 12
 	takers := 0
 	for seed := range 20 {
 		for member := range instances {
-			takers += waiterTakes(t, uint64(seed*instances+member+1), instances)
+			takers += takesFreeSlot(t, uint64(seed*instances+member+1), instances)
 		}
 	}
 	assert.Assert(t, takers > 0 && takers < 20*instances/3, takers)
 }
 
-// others are so many other instances, the first of which is two.
+// others returns so many other instances, the first of which is named two.
 func others(count int) []steer.Instance {
 	list := []steer.Instance{{Name: "two"}}
 	for i := 1; i < count; i++ {
@@ -111,7 +114,8 @@
 	return list[:count]
 }
 
-func waiterTakes(t *testing.T, seed uint64, instances int) int {
+// takesFreeSlot returns 1 if an instance with a waiting request takes the one slot that becomes free, 0 otherwise.
+func takesFreeSlot(t *testing.T, seed uint64, instances int) int {
 	in := &instance{t: t, now: start, st: steer.New(steer.Options{Name: "one", FailureDomain: "a", Run: 1, Seed: seed})}
 	in.reduce(steer.Configured{Routing: &decl.Routing{Version: 1, Services: map[string]decl.Pool{"lyric": {Engine: &figures}}}})
 	in.reduce(steer.Listed{Replicas: replicas(1)})
@@ -124,7 +128,7 @@
 	none[steer.Send](t, in.arrive(&short, 2000))
 	in.now = in.now.Add(20 * time.Millisecond)
 	in.reduce(steer.Heard{Note: steer.Note{From: "two", Run: 1, Ended: []steer.JobID{0}}})
-	// Who takes it claims it now and sends a moment later.
+	// An instance that takes the slot claims it now and sends the request a moment later.
 	in.reduce(steer.Ticked{})
 	for _, eff := range in.pass(5 * time.Millisecond) {
 		if _, ok := eff.(steer.Send); ok {
@@ -134,9 +138,9 @@
 	return 0
 }
 
-func TestWhatWouldBeLateIsRefusedInTime(t *testing.T) {
-	// No engine has room. A caller at its first try hears early when to come back, within the part of its time that it
-	// waits when asked to; one that came back has no other try and stays.
+func TestRequestWithoutReplicaIsRefusedEarly(t *testing.T) {
+	// No engine has room. A caller at its first try must be told early when to retry, within the share of its time that
+	// callers wait when asked to. A caller that retries has no further try, so its request keeps waiting.
 	in := newInstance(t, "one", 0)
 	none[steer.Finish](t, in.arrive(&short, 5000))
 	fin := find[steer.Finish](t, in.pass(250*time.Millisecond))
@@ -152,18 +156,18 @@
 	find[steer.Finish](t, in.pass(1800*time.Millisecond))
 }
 
-func TestLateOnesLetThoseInTimeGoFirst(t *testing.T) {
-	// Requests pile up while the engine is away. When it is back, one that can still be in time goes before those that
-	// are late already: in the order of arrival every one of them would be late.
+func TestRequestsThatCanMeetTheirGoalGoFirst(t *testing.T) {
+	// Requests pile up while the engine is away. Guards against sending them in the order of arrival once it is back,
+	// which makes every one of them late: one that can still be in time goes before those that are late already.
 	in := newInstance(t, "one", 0)
 	old := steer.Arrived{ID: 50, Route: &short, Prompt: 5000, Answer: 1000, Digest: 50, Deadline: in.now.Add(9 * time.Second), Patience: in.now.Add(2 * time.Second)}
 	in.reduce(old)
 	in.pass(400 * time.Millisecond)
 	in.arrive(&short, 5000)
-	one := replicas(1)
-	one[0].Slots = 1
+	list := replicas(1)
+	list[0].Slots = 1
 	var order []steer.RequestID
-	for _, eff := range in.reduce(steer.Listed{Replicas: one}) {
+	for _, eff := range in.reduce(steer.Listed{Replicas: list}) {
 		if sent, ok := eff.(steer.Send); ok {
 			order = append(order, sent.ID)
 		}
@@ -172,14 +176,14 @@
 }
 
 func TestAnyOrderOfEventsEndsEachRequestOnce(t *testing.T) {
-	// Whatever comes in whatever order, each request gets exactly one Finish, never a Send after it or beside another
-	// one, and the budget of runs holds.
+	// For any order of events, each request gets exactly one Finish, never a Send after it or while another attempt is
+	// running, and the limit of attempts that may have run holds.
 	rapid.Check(t, func(rt *rapid.T) {
 		in := newInstance(t, "one", rapid.IntRange(0, 3).Draw(rt, "engines"))
 		running := map[steer.RequestID]steer.Send{}
 		finished := map[steer.RequestID]int{}
 		runs := map[steer.RequestID]int{}
-		note := func(effects []steer.Effect) {
+		record := func(effects []steer.Effect) {
 			for _, eff := range effects {
 				switch eff := eff.(type) {
 				case steer.Send:
@@ -195,7 +199,7 @@
 			switch rapid.IntRange(0, 5).Draw(rt, "step") {
 			case 0:
 				route := rapid.SampledFrom([]*decl.Route{&short, &long, &update, &lookup}).Draw(rt, "route")
-				note(in.arrive(route, int64(rapid.IntRange(1, 500_000).Draw(rt, "prompt"))*int64(len(route.Name)&1)))
+				record(in.arrive(route, int64(rapid.IntRange(1, 500_000).Draw(rt, "prompt"))*int64(len(route.Name)&1)))
 			case 1:
 				for _, id := range slices.Sorted(maps.Keys(running))[:min(1, len(running))] {
 					sent := running[id]
@@ -204,27 +208,27 @@
 					if result != steer.ResultNotSent && result != steer.ResultNotRun && result != steer.ResultMisdirected {
 						runs[id]++
 					}
-					note(in.reduce(steer.AttemptEnded{ID: id, Attempt: sent.Attempt, Result: result, Died: rapid.Bool().Draw(rt, "died")}))
+					record(in.reduce(steer.AttemptEnded{ID: id, Attempt: sent.Attempt, Result: result, Died: rapid.Bool().Draw(rt, "died")}))
 				}
 			case 2:
-				note(in.pass(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms")) * time.Millisecond))
+				record(in.pass(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms")) * time.Millisecond))
 			case 3:
-				note(in.reduce(steer.CallerGone{ID: steer.RequestID(rapid.IntRange(1, 20).Draw(rt, "gone"))}))
+				record(in.reduce(steer.CallerGone{ID: steer.RequestID(rapid.IntRange(1, 20).Draw(rt, "gone"))}))
 			case 4:
-				note(in.reduce(steer.Listed{Replicas: replicas(rapid.IntRange(0, 4).Draw(rt, "listed")), Away: rapid.Bool().Draw(rt, "away")}))
+				record(in.reduce(steer.Listed{Replicas: replicas(rapid.IntRange(0, 4).Draw(rt, "listed")), Away: rapid.Bool().Draw(rt, "away")}))
 			case 5:
 				for _, id := range slices.Sorted(maps.Keys(running)) {
-					note(in.reduce(steer.Began{ID: id, Attempt: running[id].Attempt}))
+					record(in.reduce(steer.Began{ID: id, Attempt: running[id].Attempt}))
 				}
 			}
 		}
-		note(in.pass(20 * time.Second))
+		record(in.pass(20 * time.Second))
 		for len(running) > 0 {
 			id := slices.Min(slices.Collect(maps.Keys(running)))
 			attempt := running[id].Attempt
 			delete(running, id)
-			note(in.reduce(steer.CallerGone{ID: id}))
-			note(in.reduce(steer.AttemptEnded{ID: id, Attempt: attempt, Result: steer.ResultCancelled}))
+			record(in.reduce(steer.CallerGone{ID: id}))
+			record(in.reduce(steer.AttemptEnded{ID: id, Attempt: attempt, Result: steer.ResultCancelled}))
 		}
 		assert.Equal(rt, in.st.Open(), 0)
 		for id := steer.RequestID(1); id <= in.next; id++ {
--- a/internal/steer/price.go
+++ b/internal/steer/price.go
@@ -9,49 +9,52 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// The price of engine time. Load pattern: bursts of long prompts that all engines together could read, though not each of
-// them in time, beside short ones that are worth many times as much for each second of an engine. What a second of engine
-// time displaces depends on what callers ask for: on how much worth comes with each second of reading, and on how much
-// reading may wait before goals are missed. Both are learnt, so that neither the number of engines nor their pace nor the
-// unit of worth is set.
+// The price of engine time. What a second of engine time displaces depends on what callers ask for: the value that comes
+// with each second of reading, and how much reading may wait before goals are missed. Both are learnt from the requests,
+// so that neither the number of engines nor their speed nor the unit of value has to be configured. Load pattern: bursts
+// of long prompts that all engines together could read, but not each of them in time, together with short ones that have
+// many times their value for each second of engine time.
 
-// Demand is what callers asked of the engines of all services lately, weighted by its age. Requests that were refused count
-// too: otherwise what is refused would make engine time dear, and be refused the more.
+// Demand is what callers recently asked of the engines of all services, weighted by age. Refused requests count too:
+// otherwise refusals would raise the price of engine time, and so cause more refusals.
 type Demand struct {
-	// Value is the worth of the answers, Reading the time in s that one engine would take to read the prompts, Room the sum
-	// over the prompts of that time times the time in s until the goal.
-	Value   float32 `cbor:"1,keyasint,omitempty"`
+	// Value is the sum of the values of the answers.
+	Value float32 `cbor:"1,keyasint,omitempty"`
+	// Reading is the time in s that one engine would take to read the prompts.
 	Reading float32 `cbor:"2,keyasint,omitempty"`
-	Room    float32 `cbor:"3,keyasint,omitempty"`
+	// Room is the sum over the prompts of their reading time in s times the time in s until their goal.
+	Room float32 `cbor:"3,keyasint,omitempty"`
 }
 
 const (
-	// demandMemory is the time in which what was asked for loses most of its weight: long enough for some of the rarest
-	// prompts, short enough to follow the hours of a day.
-	demandMemory = 30 * time.Second
-	// priorReading is the weight in s of what is taken for granted before callers have asked for as much, priorDensity the
-	// worth for each second of reading and priorGoal the time in s until the goal that are.
+	// demandTimeConstant is the time in which past demand decays to 1/e: long enough to hold some of the rarest prompts,
+	// short enough to follow the load over the hours of a day.
+	demandTimeConstant = 30 * time.Second
+	// priorReading is the weight of the prior in s of reading: the prior outweighs the demand until callers have asked
+	// for as much.
 	priorReading = 10.0
+	// priorDensity is the prior value for each second of reading.
 	priorDensity = 12.0
-	priorGoal    = 2.3
+	// priorGoal is the prior time in s until the goal.
+	priorGoal = 2.3
 )
 
-// plus is both together.
+// plus returns the sum of both.
 func (dm Demand) plus(other Demand) Demand {
 	return Demand{Value: dm.Value + other.Value, Reading: dm.Reading + other.Reading, Room: dm.Room + other.Room}
 }
 
-// density is the worth for each second of reading.
-func (dm Demand) density() float64 {
+// valuePerReading is the value for each second of reading.
+func (dm Demand) valuePerReading() float64 {
 	return (float64(dm.Value) + priorDensity*priorReading) / (float64(dm.Reading) + priorReading)
 }
 
-// goal is the time in s until the goal of the mean second of reading.
-func (dm Demand) goal() float64 {
+// meanGoal is the time in s until the goal of the mean second of reading.
+func (dm Demand) meanGoal() float64 {
 	return (float64(dm.Room) + priorGoal*priorReading) / (float64(dm.Reading) + priorReading)
 }
 
-// valid tells that a demand that was heard can be one.
+// valid reports whether the figures of a received demand are finite and not negative.
 func (dm Demand) valid() bool {
 	for _, figure := range []float32{dm.Value, dm.Reading, dm.Room} {
 		if !(figure >= 0 && figure <= math.MaxFloat32) {
@@ -61,16 +64,16 @@
 	return true
 }
 
-// demandMeter is a Demand with the time up to which its parts have lost weight.
+// demandMeter is a Demand that has decayed up to the time at.
 type demandMeter struct {
 	Demand
 	at time.Time
 }
 
-// asked returns the demand as of now.
+// asked lets the demand decay up to now and returns it.
 func (mt *demandMeter) asked(now time.Time) Demand {
 	if !mt.at.IsZero() {
-		keep := float32(math.Exp(-now.Sub(mt.at).Seconds() / demandMemory.Seconds()))
+		keep := float32(math.Exp(-now.Sub(mt.at).Seconds() / demandTimeConstant.Seconds()))
 		mt.Value *= keep
 		mt.Reading *= keep
 		mt.Room *= keep
@@ -79,7 +82,7 @@
 	return mt.Demand
 }
 
-// ask counts a prompt at its caller's first try.
+// ask adds a prompt to the demand at its caller's first try.
 func (st *State) ask(eng *decl.Engine, req *request) {
 	reading := eng.Reading(req.Prompt, 1).Alone(eng) / 1000
 	st.demand.asked(st.now)
@@ -88,8 +91,8 @@
 	})
 }
 
-// sumDemand adds up what callers asked of the other instances, in an order of its own: sums in another order differ a
-// little, and what an instance does follows from its events alone.
+// sumDemand adds up the demand at the other instances in the order of their names: in another order the rounding would
+// differ, and what an instance does must follow from its events alone.
 func (st *State) sumDemand() {
 	st.othersDemand = Demand{}
 	for _, from := range slices.Sorted(maps.Keys(st.peers)) {
@@ -97,20 +100,22 @@
 	}
 }
 
-// prices are what engine time is worth now.
+// prices are the present prices of engine time in value per second.
 type prices struct {
-	// idle is the worth of a second of it that nobody waits for, reading that of a second of reading, which grows with the
-	// reading that waits: a long prompt takes engine time by the square of its length and is worth only in proportion to it, so
-	// that under overload the longest would displace what is worth more, and wait for a lull instead.
-	idle, reading float64
+	// idle is the price of a second of engine time that nobody waits for.
+	idle float64
+	// reading is the price of a second of reading. It grows with the reading that waits: a long prompt takes engine time by
+	// the square of its length while its value grows only in proportion, so that under overload the longest prompts would
+	// displace requests of higher value. At this price they wait until the load falls.
+	reading float64
 }
 
-// pricesOf weighs the backlog of the one service against what is asked of all.
+// pricesOf returns the prices for the service, from its own backlog and the demand for all services.
 func (st *State) pricesOf(svc *service) prices {
 	dm := st.demand.asked(st.now).plus(st.othersDemand)
-	density := dm.density()
+	density := dm.valuePerReading()
 	return prices{
 		idle:    density * st.tune.TimeShare,
-		reading: density * (st.tune.TimeShare + st.tune.BacklogShare*st.meanBacklog(svc)/dm.goal()),
+		reading: density * (st.tune.TimeShare + st.tune.BacklogShare*st.meanBacklog(svc)/dm.meanGoal()),
 	}
 }
--- a/internal/steer/price_test.go
+++ b/internal/steer/price_test.go
@@ -9,14 +9,14 @@
 	"dandelionsail.example/dandelionsail/internal/steer"
 )
 
-// asked tells an instance what callers of another one asked of the engines.
-func (in *instance) asked(dm steer.Demand) {
+// hearDemand sends the instance a note with the demand at another one.
+func (in *instance) hearDemand(dm steer.Demand) {
 	in.reduce(steer.Heard{Note: steer.Note{From: "two", Run: 1, Whole: true, Demand: dm}})
 	in.reduce(steer.Summarized{})
 }
 
-// backlog lets every engine but the last two read a long prompt of another instance.
-func (in *instance) backlog(engines int) {
+// occupyAllButTwo lets all but two of the engines read a long prompt of another instance.
+func (in *instance) occupyAllButTwo(engines int) {
 	nt := steer.Note{From: "two", Run: 1}
 	for engine := range engines - 2 {
 		nt.Jobs = append(nt.Jobs, steer.Job{
@@ -26,22 +26,22 @@
 	in.reduce(steer.Heard{Note: nt})
 }
 
-func TestEngineTimeIsPricedByWhatCallersAsk(t *testing.T) {
-	// Guards against a price of engine time that fits one mix of callers: behind the same backlog a long prompt goes at once
-	// where callers ask for nothing better and their goals leave room, and waits where its engines would displace what is
-	// worth many times as much.
+func TestEngineTimeIsPricedByDemand(t *testing.T) {
+	// Guards against a price of engine time that fits one mix of callers only. Behind the same backlog a long prompt is
+	// sent at once if callers ask for nothing of higher value and their goals leave room, and waits if its engines would
+	// displace requests of many times its value.
 	cases := map[string]struct {
-		asked steer.Demand
-		sent  bool
+		demand steer.Demand
+		sent   bool
 	}{
-		"little worth for much reading": {steer.Demand{Value: 400, Reading: 400, Room: 2400}, true},
-		"much worth for little reading": {steer.Demand{Value: 16_000, Reading: 400, Room: 400}, false},
+		"low value for each second of reading":  {steer.Demand{Value: 400, Reading: 400, Room: 2400}, true},
+		"high value for each second of reading": {steer.Demand{Value: 16_000, Reading: 400, Room: 400}, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			in := newInstance(t, "one", 8)
-			in.asked(tc.asked)
-			in.backlog(8)
+			in.hearDemand(tc.demand)
+			in.occupyAllButTwo(8)
 			sends := 0
 			for _, eff := range in.arrive(&long, 100_000) {
 				if _, ok := eff.(steer.Send); ok {
@@ -53,17 +53,17 @@
 	}
 }
 
-func TestDemandThatCannotBeIsLeftOut(t *testing.T) {
-	// Guards against notes of another build or sender that would make engine time worth nothing or everything.
+func TestInvalidDemandIsIgnored(t *testing.T) {
+	// Guards against notes of another version or sender that would set the price of engine time to zero or infinity.
 	cases := map[string]steer.Demand{
-		"below nothing": {Value: -1e6, Reading: 1},
-		"no number":     {Value: float32(math.NaN()), Reading: 1, Room: 1},
-		"no end":        {Value: float32(math.Inf(1)), Reading: 1, Room: 1},
+		"negative":     {Value: -1e6, Reading: 1},
+		"not a number": {Value: float32(math.NaN()), Reading: 1, Room: 1},
+		"infinite":     {Value: float32(math.Inf(1)), Reading: 1, Room: 1},
 	}
 	for name, dm := range cases {
 		t.Run(name, func(t *testing.T) {
 			in := newInstance(t, "one", 8)
-			in.asked(dm)
+			in.hearDemand(dm)
 			find[steer.Send](t, in.arrive(&long, 154_000))
 		})
 	}
--- a/internal/steer/wait_test.go
+++ b/internal/steer/queue_test.go
@@ -9,22 +9,22 @@
 	"dandelionsail.example/dandelionsail/internal/steer"
 )
 
-func TestAnswerThatCannotBeInTimeIsWeighedAsLate(t *testing.T) {
-	// Guards against a prompt that waits for a place in time although all engines together would not read it in time: it
-	// was refused when most of its goal had passed, came back and was refused again, with engines idle all the while.
+func TestRequestThatCannotMeetItsGoalIsPricedAsLate(t *testing.T) {
+	// Guards against a prompt that waits for a placement in time although all engines together would not read it in
+	// time: it would be refused when most of its goal had passed, retried and refused again, while the engines are idle.
 	in := newInstance(t, "one", 8)
 	route := long
 	route.Goal = seconds(1)
 	find[steer.Send](t, in.arrive(&route, 400_000))
 }
 
-func TestHopelessFirstTryIsTurnedAwayByItsGoal(t *testing.T) {
-	// Guards against a prompt that cannot be in time and is held far beyond its goal where all engines read for others.
+func TestFirstTryThatCannotMeetItsGoalIsRefusedBeforeIt(t *testing.T) {
+	// Guards against a prompt that cannot be in time and is held far beyond its goal while all engines read for others.
 	in := newInstance(t, "one", 4)
 	route := long
 	route.Goal = seconds(1)
-	in.asked(steer.Demand{Value: 40_000, Reading: 400, Room: 400})
-	in.backlog(6)
+	in.hearDemand(steer.Demand{Value: 40_000, Reading: 400, Room: 400})
+	in.occupyAllButTwo(6)
 	none[steer.Send](t, in.arrive(&route, 400_000))
 	fin := find[steer.Finish](t, in.pass(700*time.Millisecond))
 	assert.Equal(t, fin.Refusal.Reason, steer.ReasonBusy)
--- a/internal/steer/replica.go
+++ b/internal/steer/replica.go
@@ -7,7 +7,7 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// jobKey names a job over all instances; From is empty for this instance's own.
+// jobKey identifies a job among those of all instances. from is empty for this instance's own.
 type jobKey struct {
 	from string
 	id   JobID
@@ -16,57 +16,71 @@
 // work is one job's part at one replica.
 type work struct {
 	key jobKey
-	// first tells that the replica answers; the others only read.
+	// first is set at the replica that answers. The others only read.
 	first bool
 	begun bool
-	// tokens is the memory held, context what each step costs.
-	tokens, context int64
-	// left is what is still to be read, taken the part of it that the pass under way reads. long tells that it keeps other
-	// long reads off the engine, alone that no other engine reads for the same prompt.
-	left  decl.Reading
-	taken float64
-	stage stage
-	long  bool
+	// tokens is the memory that the part holds.
+	tokens int64
+	// context is the number of the prompt's tokens at this replica, which add to the time of each step while the answer
+	// is written.
+	context int64
+	// left is what is still to be read.
+	left decl.Reading
+	// passShare is the share of left that the current pass reads.
+	passShare float64
+	stage     stage
+	// long is set if the part keeps other long reads off the engine.
+	long bool
+	// alone is set if no other engine reads for the same prompt.
 	alone bool
-	// goal is when the answer should begin, gap the longest pause that its caller was promised.
+	// goal is when the answer should begin.
 	goal time.Time
-	gap  time.Duration
-	// leaves is the pause after which its caller leaves.
+	// gap is the longest pause that the caller was promised.
+	gap time.Duration
+	// leaves is the pause after which the caller leaves.
 	leaves time.Duration
-	// value is what the answer is worth if it is in time.
+	// value is the value of an answer in time.
 	value float64
-	sent  time.Time
-	// claim tells that it was not sent when it was heard of.
+	// sent is when the part was booked at this instance.
+	sent time.Time
+	// claim is set if the request had not been sent when the job was announced.
 	claim bool
 }
 
-// replica is what is known of one upstream.
+// replica is what this instance knows of one upstream.
 type replica struct {
 	Replica
-	// gone tells that it is registered no longer, since goneAt.
-	gone   bool
+	// gone is set while the replica is not registered any more.
+	gone bool
+	// goneAt is when it was removed from the list.
 	goneAt time.Time
 	works  []work
 	passes passes
-	// slow is how many times longer its passes take than its figures say, at least 1.
+	// slow is how many times longer than declared its passes take, at least 1.
 	slow float64
-	// slowTold is what the others know of that, pacedAt when it was last seen.
-	slowTold float64
-	pacedAt  time.Time
-	// failures counts those in a row; downUntil ends the last pause that they brought.
-	failures  int
+	// announcedSlow is the value of slow that the other instances know.
+	announcedSlow float64
+	// slowSeenAt is when slow was last observed, announced by another instance, or halved.
+	slowSeenAt time.Time
+	// failures counts consecutive failures.
+	failures int
+	// downUntil is the end of the last pause that failures caused.
 	downUntil time.Time
-	// limit is nil while the replica names no rate limit; limitEnded is when one was last known to be over.
-	limit      *rateLimit
+	// limit is nil while the replica names no rate limit.
+	limit *rateLimit
+	// limitEnded is when the last limit was known to be over.
 	limitEnded time.Time
-	// sends holds when requests of all instances reached the replica in the last limitSpan, as far as known here.
+	// sends holds when requests of all instances reached the replica in the last limitSpan, as far as this instance
+	// knows.
 	sends []time.Time
 }
 
-// Pauses after failures: long enough for a restart to show, short enough to find a replica that is back.
 const (
-	firstPause = 700 * time.Millisecond
-	maxPause   = 5 * time.Second
+	// minFailurePause is the pause after the first failure: long enough for a restart to show.
+	minFailurePause = 700 * time.Millisecond
+	// maxFailurePause bounds the pauses, which double with each further failure: short enough to find a recovered
+	// replica soon.
+	maxFailurePause = 5 * time.Second
 )
 
 func (rep *replica) usable(now time.Time) bool {
@@ -75,7 +89,7 @@
 
 func (rep *replica) failed(now time.Time) {
 	rep.failures++
-	pause := min(firstPause<<min(rep.failures-1, 4), maxPause)
+	pause := min(minFailurePause<<min(rep.failures-1, 4), maxFailurePause)
 	if until := now.Add(pause); until.After(rep.downUntil) {
 		rep.downUntil = until
 	}
@@ -86,7 +100,7 @@
 	rep.downUntil = time.Time{}
 }
 
-// running counts the requests that take a slot.
+// running counts the requests that occupy a slot.
 func (rep *replica) running() int {
 	count := 0
 	for i := range rep.works {
@@ -97,13 +111,15 @@
 	return count
 }
 
-// freeSlots counts the slots that nobody known here takes, below zero where more requests were sent than there are.
+// freeSlots is the number of slots that no known request occupies, negative if more requests were sent than there are
+// slots.
 func (rep *replica) freeSlots() int { return rep.Slots - rep.running() }
 
+// helping counts the parts that the replica reads of prompts that others answer.
 func (rep *replica) helping() int { return len(rep.works) - rep.running() }
 
-// held is the memory taken.
-func (rep *replica) held() int64 {
+// usedTokens is the memory in use, in tokens.
+func (rep *replica) usedTokens() int64 {
 	var tokens int64
 	for i := range rep.works {
 		tokens += rep.works[i].tokens
@@ -111,7 +127,7 @@
 	return tokens
 }
 
-// start books a job. Plain services have no engine's figures.
+// start books a job's part. A plain service has no engine figures, and so no passes.
 func (rep *replica) start(eng *decl.Engine, tune *Tuning, now time.Time, wk work) {
 	if eng == nil {
 		rep.works = append(rep.works, wk)
@@ -124,7 +140,8 @@
 	}
 }
 
-// begin notes that the job's prompt is read, and if its answer begins just now that a pass has ended.
+// begin records that the job's prompt is read. If live is set, its answer begins just now, so that a pass has ended,
+// too.
 func (rep *replica) begin(eng *decl.Engine, now time.Time, key jobKey, live bool) {
 	i := rep.find(key)
 	if i < 0 || rep.works[i].begun {
@@ -138,24 +155,24 @@
 	}
 }
 
-// end takes a job out. What the pass under way was to read of it is not read.
+// end removes a job. The current pass gets shorter by what it was to read of it.
 func (rep *replica) end(now time.Time, key jobKey) {
 	i := rep.find(key)
 	if i < 0 {
 		return
 	}
 	if wk := &rep.works[i]; wk.stage == stageReads && !wk.begun {
-		end := rep.passes.end.Add(-duration(wk.left.Time * wk.taken * rep.slow))
+		end := rep.passes.end.Add(-duration(wk.left.Time * wk.passShare * rep.slow))
 		rep.passes.end = later(now, end)
 	}
 	rep.works = slices.Delete(rep.works, i, i+1)
 }
 
-func later(one, two time.Time) time.Time {
-	if one.Before(two) {
-		return two
+func later(a, b time.Time) time.Time {
+	if a.Before(b) {
+		return b
 	}
-	return one
+	return a
 }
 
 func (rep *replica) find(key jobKey) int {
--- a/internal/steer/tuning.go
+++ b/internal/steer/tuning.go
@@ -7,83 +7,97 @@
 	"github.com/joomcode/errorx"
 )
 
-// Tuning holds the figures by which one choice is weighed against another. Each is a weight of the policy and none follows
-// from a deployment: what engines, routes and callers are like is declared or observed. A figure that switches its
-// mechanism off says so. docs/POLICY.md has what each is worth and how flat it is.
+// Tuning holds the weights by which one placement is compared with another. None of them depends on a deployment: what
+// engines, routes and callers are like is declared or observed. The comment of a weight says which value disables its
+// mechanism. docs/POLICY.md has what each is worth and how sensitive the results are to it.
 type Tuning struct {
-	// RiskFrom and RiskTo are the parts of the time left at which the estimate of a first event counts as safe and as
-	// hopeless, RiskPower bends the chance of lateness between them. Later answers than reckoned are what they stand for:
-	// what comes to an engine after the request is read in the same pass.
-	RiskFrom, RiskTo, RiskPower float64
-	// LateShare is the part of an answer's worth that is lost if it is late.
+	// RiskFrom is the share of the time left up to which an estimate of the first event counts as safe.
+	RiskFrom float64
+	// RiskTo is the share of the time left from which such an estimate counts as certainly late. The range in between
+	// covers answers later than estimated: what reaches an engine after the request is read in the same pass.
+	RiskTo float64
+	// RiskPower is the exponent by which the probability of lateness grows from RiskFrom to RiskTo.
+	RiskPower float64
+	// LateShare is the share of an answer's value that is lost if it is late.
 	LateShare float64
-	// GiveUp is how late in ms an answer is as good as none.
+	// GiveUp is the lateness in ms up to which the loss goes on growing. By then callers have given up, and an answer is
+	// worth next to nothing.
 	GiveUp float64
-	// Safety is the part of the time to the first event that a request may wait for a cheaper place.
+	// Safety is the share of the time until the first event that a request may wait for a cheaper placement.
 	Safety float64
-	// GapSafety is the part of the longest pause of a stream that a pass of its engine may be reckoned to take: what comes to
-	// the engine meanwhile is read in the same pass.
+	// GapSafety is the share of a stream's longest allowed pause that a pass of its engine may be estimated to take. The
+	// rest covers what reaches the engine meanwhile, which is read in the same pass.
 	GapSafety float64
-	// LeaveSafety is the part of the pause after which callers leave that a pass may be reckoned to take, LeaveCost what is
-	// lost then in parts of the answer's worth.
-	LeaveSafety, LeaveCost float64
-	// CalmShare is the part of its worth that a request may cost that has all its time left; 1 lets it go at once.
-	CalmShare float64
+	// LeaveSafety is the share of the pause after which callers leave that a pass may be estimated to take.
+	LeaveSafety float64
+	// LeaveCost is what is lost by a longer pass, as a share of the answer's value.
+	LeaveCost float64
+	// MinCostShare is the share of its value that a request may cost while it has all its time left; 1 lets it be sent
+	// at once.
+	MinCostShare float64 `json:"CalmShare"`
 
-	// TimeShare is the part of the worth that comes with each second of reading that a second of engine time costs which
-	// nobody waits for; it parts choices that make nothing late.
+	// TimeShare is the price of a second of engine time that nobody waits for, as a share of the value that comes with
+	// each second of reading. It decides between placements that make nothing late.
 	TimeShare float64
-	// BacklogShare is the part of it that is added when as much reading waits at the average engine as there is time until
-	// the goals; 0 switches it off.
+	// BacklogShare is added to TimeShare in the price of reading when as much reading waits at the average engine as
+	// there is time until the goals; 0 disables it.
 	BacklogShare float64
-	// SpreadCost keeps a stream that may not pause off engines that have none like it, which are thereby kept free for
-	// long reads; 0 switches it off. FullShare is the part of its slots from which an engine counts as full of such streams.
-	SpreadCost, FullShare float64
-	// Crowding parts equal choices by chance, so that instances that choose at the same moment, before they hear of each
-	// other, do not all take the same engine.
+	// SpreadCost keeps a stream that may not pause off engines that have no stream like it, so that these stay free for
+	// long reads; 0 disables it.
+	SpreadCost float64
+	// FullShare is the share of its slots from which an engine counts as full of such streams.
+	FullShare float64
+	// Crowding is the highest random cost of an engine. It decides between equal placements, so that instances that
+	// place requests at the same moment, before they learn of each other's, do not all use the same engine.
 	Crowding float64
-	// FarCost is the worth of staying in the own failure domain.
+	// FarCost is the cost of a replica outside of the instance's own failure domain.
 	FarCost float64
 
-	// MaxEngines is how many engines may read one prompt at the most.
+	// MaxEngines is the maximum number of engines that read one prompt.
 	MaxEngines int
-	// MinSplit is the least reading in ms that is worth another engine.
+	// MinSplit is the minimum reading in ms, for each of the engines, that justifies reading a prompt on several of
+	// them.
 	MinSplit float64
-	// LongRead is the reading in ms from which a prompt has its engines to itself.
+	// LongRead is the reading in ms above which a prompt has its engines to itself.
 	LongRead float64
-	// OverdueShare is the part of its pass that an engine is taken to have left which is later than was reckoned.
+	// OverdueShare is the share of its estimated length by which a pass that is later than estimated is extended.
 	OverdueShare float64
 
-	// KindPower is how the worth of a kind of request grows with its mean prompt, BaseValue the worth of a kind with a mean
-	// of 5,000 tokens and of plain requests, FixedShare the part of the worth that does not depend on the prompt's own
-	// length, MostTimes bounds the rest.
-	KindPower, BaseValue, FixedShare, MostTimes float64
+	// KindPower is the exponent by which the value of a kind of request grows with its mean prompt.
+	KindPower float64
+	// BaseValue is the value of a kind with a mean prompt of 5,000 tokens, and of requests to plain services.
+	BaseValue float64
+	// FixedShare is the share of the value that does not depend on the length of the request's own prompt.
+	FixedShare float64
+	// MaxLengthFactor bounds the factor by which a long prompt exceeds the value of its kind.
+	MaxLengthFactor float64 `json:"MostTimes"`
 
-	// LastCall is the part of the goal that is left when a waiting request is as good as late; 0 lets it wait to its goal.
+	// LastCall is the share of the goal that is left when a waiting request counts as late; 0 lets it wait until its
+	// goal.
 	LastCall float64
-	// VainShare is the part of its time that a caller may wait for a place that came back or whose attempt failed.
-	VainShare float64
-	// FirstTry is the part of the longest time given that a caller has at its first try, at the least.
-	FirstTry float64
-	// PatientShare is the part of the time left that callers wait when they are asked to.
+	// MaxRewaitShare is the share of its time that a caller may wait for a replica on a retry or after a failed attempt.
+	MaxRewaitShare float64 `json:"VainShare"`
+	// MinFirstTryShare is the minimum time that a caller has at its first try, as a share of the longest time given.
+	MinFirstTryShare float64 `json:"FirstTry"`
+	// PatientShare is the share of the time left for which callers wait when they are told to retry later.
 	PatientShare float64
 }
 
-// DefaultTuning returns the figures that are in use where no others are set.
+// DefaultTuning returns the weights that apply unless others are set.
 func DefaultTuning() Tuning {
 	return Tuning{
-		RiskFrom: 0.4, RiskTo: 1.3, RiskPower: 1.6, LateShare: 0.75, GiveUp: 5000, Safety: 0.8, GapSafety: 0.87, LeaveSafety: 0.87, LeaveCost: 1, CalmShare: 0.3,
+		RiskFrom: 0.4, RiskTo: 1.3, RiskPower: 1.6, LateShare: 0.75, GiveUp: 5000, Safety: 0.8, GapSafety: 0.87, LeaveSafety: 0.87, LeaveCost: 1, MinCostShare: 0.3,
 		TimeShare: 0.025, BacklogShare: 0.7, SpreadCost: 0.1, FullShare: 1, Crowding: 0.03, FarCost: 0.005,
 		MaxEngines: 16, MinSplit: 60, LongRead: 60, OverdueShare: 0.3,
-		KindPower: 0.7, BaseValue: 1.3, FixedShare: 0.3, MostTimes: 4,
-		LastCall: 0.4, VainShare: 0.2, FirstTry: 0.84, PatientShare: 1.0 / 3,
+		KindPower: 0.7, BaseValue: 1.3, FixedShare: 0.3, MaxLengthFactor: 4,
+		LastCall: 0.4, MaxRewaitShare: 0.2, MinFirstTryShare: 0.84, PatientShare: 1.0 / 3,
 	}
 }
 
-// BadTuning is a figure that cannot be used.
+// BadTuning is the error type of weights that cannot be used.
 var BadTuning = errorx.NewNamespace("steer").NewType("bad_tuning")
 
-// UnmarshalFlag takes the defaults with the figures of a JSON object in their place. It implements flags.Unmarshaler.
+// UnmarshalFlag sets the defaults, overridden by the weights in a JSON object. It implements flags.Unmarshaler.
 func (tune *Tuning) UnmarshalFlag(text string) error {
 	*tune = DefaultTuning()
 	if text == "" {
@@ -92,16 +106,16 @@
 	dec := json.NewDecoder(strings.NewReader(text))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(tune); err != nil {
-		return BadTuning.Wrap(err, "steer: the tuning is no JSON object of known figures; give one such as {\"RiskTo\":1.3}")
+		return BadTuning.Wrap(err, "steer: the tuning is not a JSON object with known keys; give one such as {\"RiskTo\":1.3}")
 	}
 	return tune.Check()
 }
 
-// Check returns a BadTuning error that names the figure and what is allowed.
+// Check returns a BadTuning error that names an invalid weight and the values that are allowed.
 func (tune *Tuning) Check() error {
 	positive := map[string]float64{
 		"RiskPower": tune.RiskPower, "GiveUp": tune.GiveUp, "MinSplit": tune.MinSplit, "BaseValue": tune.BaseValue,
-		"FullShare": tune.FullShare, "MostTimes": tune.MostTimes,
+		"FullShare": tune.FullShare, "MostTimes": tune.MaxLengthFactor,
 	}
 	for name, figure := range positive {
 		if figure <= 0 {
@@ -109,13 +123,13 @@
 		}
 	}
 	shares := map[string]float64{
-		"LateShare": tune.LateShare, "Safety": tune.Safety, "GapSafety": tune.GapSafety, "LeaveSafety": tune.LeaveSafety, "CalmShare": tune.CalmShare,
-		"FixedShare": tune.FixedShare, "LastCall": tune.LastCall, "VainShare": tune.VainShare, "FirstTry": tune.FirstTry,
+		"LateShare": tune.LateShare, "Safety": tune.Safety, "GapSafety": tune.GapSafety, "LeaveSafety": tune.LeaveSafety, "CalmShare": tune.MinCostShare,
+		"FixedShare": tune.FixedShare, "LastCall": tune.LastCall, "VainShare": tune.MaxRewaitShare, "FirstTry": tune.MinFirstTryShare,
 		"PatientShare": tune.PatientShare, "OverdueShare": tune.OverdueShare,
 	}
 	for name, share := range shares {
 		if share < 0 || share > 1 {
-			return BadTuning.New("steer: %s is %v; give a part from 0 to 1", name, share)
+			return BadTuning.New("steer: %s is %v; give a share from 0 to 1", name, share)
 		}
 	}
 	costs := map[string]float64{
--- a/internal/steer/tuning_test.go
+++ b/internal/steer/tuning_test.go
@@ -9,28 +9,28 @@
 )
 
 func TestTuningIsChecked(t *testing.T) {
-	// An operator changes one figure of the policy; the others keep their defaults. A figure that is unknown or out of its
-	// range is refused by name before the instance starts.
+	// An operator sets one weight of the policy and the others keep their defaults. Guards against a start with an
+	// unknown weight or one out of its range: the error names the key.
 	cases := map[string]struct {
-		text, complaint string
+		text, wantErr string
 	}{
-		"nothing":       {"", ""},
+		"empty":         {"", ""},
 		"one figure":    {`{"MaxEngines":4}`, ""},
-		"unknown":       {`{"MaxEngine":4}`, "MaxEngine"},
-		"no JSON":       {"4", "JSON"},
-		"no part":       {`{"LastCall":1.5}`, "LastCall"},
-		"below nothing": {`{"BacklogShare":-1}`, "BacklogShare"},
+		"unknown key":   {`{"MaxEngine":4}`, "MaxEngine"},
+		"not an object": {"4", "JSON"},
+		"share above 1": {`{"LastCall":1.5}`, "LastCall"},
+		"negative cost": {`{"BacklogShare":-1}`, "BacklogShare"},
 		"zero divisor":  {`{"FullShare":0}`, "FullShare"},
 		"wrong order":   {`{"RiskTo":0.1}`, "RiskTo"},
-		"no engine":     {`{"MaxEngines":0}`, "MaxEngines"},
-		"a figure gone": {`{"SlotsFrom":0.8}`, "SlotsFrom"},
+		"zero engines":  {`{"MaxEngines":0}`, "MaxEngines"},
+		"removed key":   {`{"SlotsFrom":0.8}`, "SlotsFrom"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			var tune steer.Tuning
 			err := tune.UnmarshalFlag(tc.text)
-			if tc.complaint != "" {
-				assert.ErrorContains(t, err, tc.complaint)
+			if tc.wantErr != "" {
+				assert.ErrorContains(t, err, tc.wantErr)
 				return
 			}
 			assert.NilError(t, err)
