--- a/internal/steer/ask.go
+++ b/internal/steer/ask.go
@@ -2,53 +2,57 @@
 
 import "time"
 
-// Asks. What a request does that would go to a limited replica: it asks for a send, waits for its turn if that is in time, and
-// looks elsewhere if it is not.
+// Requests for sends to rate-limited replicas. A request that is placed at a limited replica asks the granting instance for
+// a send. It waits for the granted time if that is early enough, and looks for another replica otherwise.
 
 const (
-	// askTime is how long an answer to an ask is waited for, some times what a note takes there and back.
-	askTime = 30 * time.Millisecond
-	// askTries is how often one instance is asked before it counts as silent: a note may be lost.
+	// askTimeout is how long to wait for the answer to an ask: several round trips of a note.
+	askTimeout = 30 * time.Millisecond
+	// askTries is how often an instance is asked before it counts as unresponsive, since notes may be lost.
 	askTries = 3
-	// askSlack is how much later than it last heard a request lets the replica be.
+	// askSlack is how much longer than the last estimate a request accepts to wait for the replica.
 	askSlack = 50 * time.Millisecond
-	// grantLife is how long after its time a grant may still be used: an instance that froze must not send by an old one.
-	grantLife = 100 * time.Millisecond
-	// barTime is how long a request leaves a replica alone whose room is for requests of more worth.
+	// grantValidity is how long after its time a grant may still be used. Without it, an instance that was frozen would send
+	// by an old grant.
+	grantValidity = 100 * time.Millisecond
+	// barTime is how long a request avoids a replica whose available sends are reserved for requests of higher value.
 	barTime = 100 * time.Millisecond
-	// longestReturn is the latest time at which callers are asked to come back: limits seldom last as they are for longer.
-	longestReturn = 10 * time.Second
+	// maxRetryAfter is the longest time after which callers are asked to retry. Limits seldom stay the same for longer.
+	maxRetryAfter = 10 * time.Second
 )
 
-// ask is a request's wish to be sent to a limited replica.
+// ask is a request's pending or granted ask for a send to a limited replica.
 type ask struct {
-	// rep is nil where the request has none.
+	// rep is nil if the request has no ask.
 	rep     *replica
 	job     JobID
 	granter string
-	at      time.Time
-	tries   int
-	// wait is the longest wait that it accepts.
-	wait    time.Duration
-	granted bool
-	// turn is when the request may be sent.
-	turn time.Time
+	// at is when the granting instance was last asked.
+	at    time.Time
+	tries int
+	// acceptedWait is the longest wait that the request accepts.
+	acceptedWait time.Duration
+	granted      bool
+	// sendAt is when the request may be sent.
+	sendAt time.Time
 }
 
-// mayWait is how long a request may wait for a limited replica and still be in time, or, if it is late, be answered.
-func (st *State) mayWait(req *request) time.Duration {
+// maxWait returns how long a request may wait for a limited replica and still be in time or, if it is already late, still be
+// answered before its caller leaves.
+func (st *State) maxWait(req *request) time.Duration {
 	if req.late {
 		return max(0, time.Duration(st.tune.Safety*float64(req.goal.Sub(st.now))))
 	}
 	return max(0, req.goal.Sub(st.now)-time.Duration(st.tune.LastCall*float64(req.Route.Goal.Std())))
 }
 
-// hasTurn tells that the request was granted a send for which its caller will still wait.
+// hasTurn reports whether the request was granted a send early enough that its caller will still be waiting.
 func (req *request) hasTurn() bool {
-	return req.ask.granted && req.ask.turn.Before(req.Patience) && req.ask.turn.Before(req.Deadline)
+	return req.ask.granted && req.ask.sendAt.Before(req.Patience) && req.ask.sendAt.Before(req.Deadline)
 }
 
-// limitWait is how long a request is likely to wait for a send to the replica; false if that is longer than it may.
+// limitWait returns how long a request is likely to wait for a send to the replica. It returns false if that is too long or
+// if the request avoids the replica for now.
 func (st *State) limitWait(rep *replica, req *request) (time.Duration, bool) {
 	if rep.limit == nil {
 		return 0, true
@@ -57,89 +61,92 @@
 		return 0, false
 	}
 	wait := max(0, rep.limit.roomAt.Sub(st.now))
-	return wait, wait == 0 || wait <= st.mayWait(req)
+	return wait, wait == 0 || wait <= st.maxWait(req)
 }
 
-// askToSend asks for a send to the replica, and sends at once if this instance grants it.
+// askToSend asks for a send to the replica. If this instance is the granting one, it decides at once and may send. The
+// result reports whether the request was sent.
 func (st *State) askToSend(req *request, rep *replica) bool {
 	st.nextJob(req)
 	req.ask = ask{rep: rep, job: req.job, granter: st.granter(rep), at: st.now, tries: 1}
-	req.ask.wait = min(st.mayWait(req), max(0, rep.limit.roomAt.Sub(st.now))+askSlack)
+	req.ask.acceptedWait = min(st.maxWait(req), max(0, rep.limit.roomAt.Sub(st.now))+askSlack)
 	if req.ask.granter != st.Options.Name {
-		st.tellAsk(req)
+		st.sendAsk(req)
 		return false
 	}
-	wish := st.wish(req)
-	after, ok := st.grant(rep, jobKey{id: req.job}, &wish)
-	st.askAnswered(req, after, ok)
+	ak := st.newAsk(req)
+	after, ok := st.grant(rep, jobKey{id: req.job}, &ak)
+	st.handleAskResult(req, after, ok)
 	return st.trySend(req)
 }
 
-// wish is what the request asks for.
-func (st *State) wish(req *request) Ask {
+// newAsk returns the Ask for the request's pending ask.
+func (st *State) newAsk(req *request) Ask {
 	rep := req.ask.rep
-	return Ask{Job: req.ask.job, Replica: rep.Name, WaitMs: millis(req.ask.wait), MostMs: millis(st.mayWait(req)), Value: float32(req.value), Recent: rep.recent(st.now)}
+	return Ask{Job: req.ask.job, Replica: rep.Name, AcceptedWaitMs: millis(req.ask.acceptedWait), MaxWaitMs: millis(st.maxWait(req)), Value: float32(req.value), Recent: rep.recentSends(st.now)}
 }
 
-func (st *State) tellAsk(req *request) {
-	nt := Note{Limits: []Limit{st.limitOf(req.ask.rep)}, Asks: []Ask{st.wish(req)}}
+// sendAsk sends the request's ask, together with the limit as known here, to the granting instance.
+func (st *State) sendAsk(req *request) {
+	nt := Note{Limits: []Limit{st.limitOf(req.ask.rep)}, Asks: []Ask{st.newAsk(req)}}
 	st.emit(Tell{Note: st.note(nt), To: []string{req.ask.granter}})
-	st.emit(Wake{After: askTime})
+	st.emit(Wake{After: askTimeout})
 }
 
-// askAnswered notes what became of the request's ask.
-func (st *State) askAnswered(req *request, after time.Duration, granted bool) {
-	an := &req.ask
+// handleAskResult applies the answer to the request's ask.
+func (st *State) handleAskResult(req *request, after time.Duration, granted bool) {
+	ak := &req.ask
 	if granted {
-		an.granted, an.turn = true, st.now.Add(after)
+		ak.granted, ak.sendAt = true, st.now.Add(after)
 		if after > 0 {
 			st.emit(Wake{After: after})
 		}
 		return
 	}
-	if an.rep.limit != nil {
-		an.rep.limit.roomAt = st.now.Add(after)
+	if ak.rep.limit != nil {
+		ak.rep.limit.roomAt = st.now.Add(after)
 	}
-	if after <= an.wait {
-		// There is room, but for requests of more worth.
-		req.bar(an.rep, st.now.Add(barTime))
+	if after <= ak.acceptedWait {
+		// Sends are available, but reserved for requests of higher value.
+		req.bar(ak.rep, st.now.Add(barTime))
 	}
-	st.emit(Line{Message: "rate limit leaves no room", Request: req.Name, Replica: an.rep.Name, Age: st.now.Sub(req.at), Estimate: after})
+	st.emit(Line{Message: "rate limit: no send available in time", Request: req.Name, Replica: ak.rep.Name, Age: st.now.Sub(req.at), Estimate: after})
 	req.ask = ask{}
 }
 
-// followAsk goes on with a request that has asked. It is sent when its time comes, and looks for another place if its ask
-// came to nothing.
+// followAsk continues a request that has an ask. The request is sent at the granted time. If the ask was not answered, the
+// grant has expired or the replica is not limited or not usable any more, it is placed anew. The result reports whether the
+// request was sent.
 func (st *State) followAsk(req *request) bool {
-	an := &req.ask
+	ak := &req.ask
 	switch {
-	case an.rep.limit == nil || !an.rep.usable(st.now):
-	case an.granted && st.now.Before(an.turn):
+	case ak.rep.limit == nil || !ak.rep.usable(st.now):
+	case ak.granted && st.now.Before(ak.sendAt):
 		return false
-	case an.granted && st.now.Sub(an.turn) <= grantLife:
-		if pl, ok := st.placeAt(req, an.rep); ok {
+	case ak.granted && st.now.Sub(ak.sendAt) <= grantValidity:
+		if pl, ok := st.placeAt(req, ak.rep); ok {
 			st.bookGranted(req, pl)
 			st.send(req)
 			req.ask = ask{}
 			return true
 		}
-	case an.granted:
-	case st.now.Sub(an.at) < askTime:
+	case ak.granted:
+	case st.now.Sub(ak.at) < askTimeout:
 		return false
-	case an.tries < askTries:
-		an.tries++
-		an.at = st.now
-		st.tellAsk(req)
+	case ak.tries < askTries:
+		ak.tries++
+		ak.at = st.now
+		st.sendAsk(req)
 		return false
 	default:
-		st.silent[an.granter] = st.now
-		st.emit(Line{Message: "instance grants nothing: silent", Request: req.Name, Replica: an.rep.Name, Age: st.now.Sub(req.at)})
+		st.silent[ak.granter] = st.now
+		st.emit(Line{Message: "rate limit: granting instance did not answer", Request: req.Name, Replica: ak.rep.Name, Age: st.now.Sub(req.at)})
 	}
 	req.ask = ask{}
 	return st.trySend(req)
 }
 
-// bar keeps the request from asking for a send to the replica for a while.
+// bar prevents the request from asking for a send to the replica until the given time.
 func (req *request) bar(rep *replica, until time.Time) {
 	if req.barred == nil {
 		req.barred = map[string]time.Time{}
@@ -147,32 +154,32 @@
 	req.barred[rep.Name] = until
 }
 
-// granted takes the answers to this instance's asks.
-func (st *State) granted(grants []Grant) {
+// receiveGrants applies the answers to this instance's asks.
+func (st *State) receiveGrants(grants []Grant) {
 	for _, grant := range grants {
 		req, ok := st.requests[RequestID(grant.Job/jobsPerRequest)]
 		if !ok || req.ask.rep == nil || req.ask.job != grant.Job || req.ask.granted || req.ask.rep.Name != grant.Replica {
 			continue
 		}
-		if st.now.Sub(req.ask.at) > askTries*askTime {
-			// This instance stood still meanwhile: the time of the grant is past.
+		if st.now.Sub(req.ask.at) > askTries*askTimeout {
+			// This instance was frozen in the meantime, so the time of the grant has passed.
 			continue
 		}
-		st.askAnswered(req, time.Duration(grant.AfterMs)*time.Millisecond, !grant.Refused)
+		st.handleAskResult(req, time.Duration(grant.AfterMs)*time.Millisecond, !grant.Refused)
 	}
 	if len(grants) > 0 {
 		st.dispatch()
 	}
 }
 
-// keptOut tells that the replicas' limits keep the request out for longer than it may wait.
+// keptOut reports whether the rate limits of the replicas hold the request back for longer than it may wait.
 func (st *State) keptOut(req *request) bool {
 	_, held := st.heldByLimits(req)
 	return held
 }
 
-// heldByLimits is when the first of the service's replicas is likely to have room, if all that can be used are limited and
-// none has room within the time that the request may wait.
+// heldByLimits returns when the first of the service's replicas is likely to accept the request. held is true only if all
+// usable replicas are limited and none is likely to accept the request within the time that it may wait.
 func (st *State) heldByLimits(req *request) (first time.Time, held bool) {
 	if req.ask.rep != nil {
 		return time.Time{}, false
@@ -185,7 +192,7 @@
 			return time.Time{}, false
 		}
 		room := later(rep.limit.roomAt, req.barred[rep.Name])
-		if room.Sub(st.now) <= st.mayWait(req) {
+		if room.Sub(st.now) <= st.maxWait(req) {
 			return time.Time{}, false
 		}
 		if first.IsZero() || room.Before(first) {
@@ -195,22 +202,22 @@
 	return first, !first.IsZero()
 }
 
-// comeBackAt spreads the callers that limits keep out over the time in which the replicas can take them: each has a turn of
-// its own, at this instance's part of what all of them take.
+// comeBackAt returns the time after which a caller that was refused because of rate limits should retry. It spaces the
+// callers evenly, at this instance's share of the sum of the limits, so that the replicas can accept them when they return.
 func (st *State) comeBackAt(req *request, first time.Time) time.Duration {
 	svc := st.serviceOf(req.service)
 	perS := 0.0
 	for _, rep := range st.candidates(svc) {
 		if rep.usable(st.now) && rep.limit != nil {
-			perS += max(leastRate, rep.limit.perS)
+			perS += max(minRate, rep.limit.perS)
 		}
 	}
-	turn := duration(1000 * float64(st.live) / max(leastRate, perS))
+	interval := duration(1000 * float64(st.live) / max(minRate, perS))
 	svc.backAt = later(svc.backAt, first)
-	if latest := st.now.Add(longestReturn); svc.backAt.After(latest) {
+	if latest := st.now.Add(maxRetryAfter); svc.backAt.After(latest) {
 		svc.backAt = latest
 	}
 	after := max(notRunPause, svc.backAt.Sub(st.now))
-	svc.backAt = svc.backAt.Add(turn)
+	svc.backAt = svc.backAt.Add(interval)
 	return after
 }
--- a/internal/steer/claim.go
+++ b/internal/steer/claim.go
@@ -6,116 +6,124 @@
 	"time"
 )
 
-// Claims on scarce slots. Load pattern: more streams are asked for than all engines can write, so that each slot that gets
-// free is seen by all instances at once, and each has a request for it. An instance alone cannot know who else takes it;
-// the engine takes them all and keeps those without a slot waiting for a second or more, while a slot that gets free
-// elsewhere goes to a newer request. So a request for one of few slots is told to the others first and sent a moment later,
-// unless others have a better right by then. All instances rank the claims alike, from what the claims say.
+// Claims on scarce slots. Load pattern: callers request more streams than all engines have slots, so all instances see each
+// freed slot at once and each has a request waiting for it. A single instance cannot know who else takes the slot. The
+// engine accepts all of the requests and queues those without a slot for a second or more, while a slot that is freed
+// elsewhere goes to a newer request. Therefore a request for one of the last slots is first announced to the other instances
+// as a claim and sent shortly after, unless claims of higher rank arrive in between. All instances rank claims identically,
+// by the content of the claims alone.
 
 const (
-	// scarceSlots is how many slots of an engine may be free for a request to claim one: more are seldom taken within the
-	// time that a note takes.
+	// scarceSlots is the maximum number of free slots of an engine at which a request must claim one. More are seldom taken
+	// within the time that a note takes to arrive.
 	scarceSlots = 2
-	// claimTime is how long others may object, some times what a note takes from one instance to the next.
+	// claimTime is how long a claim waits for competing claims: several times the delay of a note between two instances.
 	claimTime = 4 * time.Millisecond
-	// claimMemory is how long another instance's claim counts as one, which it was when it was told.
-	claimMemory = 2 * claimTime
-	// claimPause is the wait after a claim that was withdrawn.
-	claimPause = 5 * time.Millisecond
-	// rushAfter is how long a request must be here to count as one that waits.
-	rushAfter = 5 * time.Millisecond
-	// takers is how many claims on a free slot are wanted: fewer leave it idle, more are withdrawn.
-	takers = 2
+	// claimTTL is how long after its arrival a job that another instance announced as a claim still counts as one. Later it
+	// has been sent or withdrawn.
+	claimTTL = 2 * claimTime
+	// claimBackoff is how long a request waits after its claim was withdrawn.
+	claimBackoff = 5 * time.Millisecond
+	// waitingAfter is the age from which a request counts as waiting in myTurn.
+	waitingAfter = 5 * time.Millisecond
+	// claimsPerSlot is the desired number of claims for each free slot. Fewer could leave the slot idle, and most of any
+	// more would be withdrawn.
+	claimsPerSlot = 2
 )
 
-// contested tells that others may take the slot at the same moment.
+// contested reports whether other instances may take the slot at the same moment.
 func (st *State) contested(pl *plan) bool {
 	first := pl.reps[0]
 	return st.live > 1 && st.services[first.Service].engine != nil && first.freeSlots() <= scarceSlots
 }
 
-// settle sends what was claimed long enough ago, and withdraws what others have a better right to.
+// settle decides the claims that have waited for claimTime: it sends the requests that win their slot and withdraws the
+// claims that lose it to others of higher rank.
 func (st *State) settle() {
 	var due []*request
 	st.claims = slices.DeleteFunc(st.claims, func(req *request) bool {
-		over := st.now.Sub(req.sentAt) >= claimTime
-		if over {
+		elapsed := st.now.Sub(req.sentAt) >= claimTime
+		if elapsed {
 			due = append(due, req)
 		}
-		return over
+		return elapsed
 	})
 	for _, req := range due {
-		if st.prevails(req) {
+		if st.winsClaim(req) {
 			req.claims = false
 			st.send(req)
 			continue
 		}
 		st.emit(Line{Message: "claim withdrawn", Request: req.Name, Replica: req.reps[0].Name, Age: st.now.Sub(req.at)})
 		st.withdraw(req)
-		req.notBefore = st.now.Add(claimPause)
+		req.notBefore = st.now.Add(claimBackoff)
 		st.waiting = append(st.waiting, req)
 	}
 }
 
-// withdraw gives a claim up.
+// withdraw drops the request's claim and the booking for it.
 func (st *State) withdraw(req *request) {
 	st.claims = slices.DeleteFunc(st.claims, func(other *request) bool { return other == req })
 	st.unbook(req)
 	req.claims = false
 }
 
-// prevails tells that the request's replica has a slot for it after all claims of a better right.
-func (st *State) prevails(req *request) bool {
+// winsClaim reports whether the replica has a slot left for the request once all claims of higher rank have theirs.
+func (st *State) winsClaim(req *request) bool {
 	rep := req.reps[0]
 	if !rep.usable(st.now) || rep.limit != nil {
 		return false
 	}
-	over := -rep.freeSlots()
-	if over <= 0 {
+	excess := -rep.freeSlots()
+	if excess <= 0 {
 		return true
 	}
 	own := rep.find(jobKey{id: req.job})
 	if own < 0 {
 		return false
 	}
-	worse := 0
+	outranked := 0
 	for i := range rep.works {
 		wk := &rep.works[i]
-		if i != own && wk.first && wk.claim && st.now.Sub(wk.sent) < claimMemory && st.betterClaim(&rep.works[own], wk) {
-			worse++
+		if i != own && wk.first && wk.claim && st.now.Sub(wk.sent) < claimTTL && st.outranks(&rep.works[own], wk) {
+			outranked++
 		}
 	}
-	return worse >= over
+	return outranked >= excess
 }
 
-// betterClaim ranks claims: by worth, then by what names them, the same way at all instances.
-func (st *State) betterClaim(one, two *work) bool {
+// outranks reports whether claim a ranks before claim b. The order, by value and then by instance and job, is the same at
+// all instances.
+func (st *State) outranks(a, b *work) bool {
 	order := cmp.Or(
-		-cmp.Compare(float32(one.value), float32(two.value)),
-		cmp.Compare(st.nameOf(one), st.nameOf(two)),
-		cmp.Compare(one.key.id, two.key.id),
+		-cmp.Compare(float32(a.value), float32(b.value)),
+		cmp.Compare(st.instanceOf(a), st.instanceOf(b)),
+		cmp.Compare(a.key.id, b.key.id),
 	)
 	return order < 0
 }
 
-func (st *State) nameOf(wk *work) string {
+// instanceOf returns the name of the instance that has the job.
+func (st *State) instanceOf(wk *work) string {
 	if wk.key.from == "" {
 		return st.Options.Name
 	}
 	return wk.key.from
 }
 
-// myTurn keeps the requests that wait from rushing to the one slot that became free, which all instances hear of at once:
-// a request that waits takes one of few slots with the chance that leaves few takers for each. The next tick tries again.
+// myTurn reports whether the request may try to take a free slot of the replica now. All instances learn of a freed slot at
+// once, and all their waiting requests would claim it. So a waiting request tries with the probability that yields about
+// claimsPerSlot claims for each free slot, and tries again at the next tick. New requests always may.
 func (st *State) myTurn(rep *replica, req *request, rivals int) bool {
-	if st.now.Sub(req.at) < rushAfter {
+	if st.now.Sub(req.at) < waitingAfter {
 		return true
 	}
-	wanted := takers * rep.freeSlots()
+	wanted := claimsPerSlot * rep.freeSlots()
 	return wanted >= rivals || st.random.IntN(rivals) < wanted
 }
 
-// rivals is how many requests wait at the instances that use the same replicas. One that is not heard counts as having one.
+// rivals returns how many requests wait at the instances that use the same replicas. An instance without notes counts as
+// one.
 func (st *State) rivals(svc *service) int {
 	rivals := max(1, len(st.waiting))
 	for _, name := range st.othersUsing(st.ownSubset(svc)) {
--- a/internal/steer/claim_test.go
+++ b/internal/steer/claim_test.go
@@ -12,148 +12,151 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// choir is several reducers whose notes reach each other after a delay.
-type choir struct {
+// claimCluster simulates several reducers whose notes arrive after a delay.
+type claimCluster struct {
 	t     *testing.T
 	now   time.Time
 	delay time.Duration
 	names []string
 	sts   map[string]*steer.State
-	post  []letter
-	wakes []letter
+	notes []delayedEvent
+	wakes []delayedEvent
 	sends []steer.Send
 }
 
-type letter struct {
+type delayedEvent struct {
 	at time.Time
 	to string
 	ev steer.Event
 }
 
-// newChoir returns so many instances before one engine with so many slots, all of which know each other.
-func newChoir(t *testing.T, count, slots int, delay time.Duration) *choir {
-	ch := &choir{t: t, now: start, delay: delay, sts: map[string]*steer.State{}}
+// newClaimCluster returns a cluster of count instances that know each other and share one engine with the given slots.
+func newClaimCluster(t *testing.T, count, slots int, delay time.Duration) *claimCluster {
+	cc := &claimCluster{t: t, now: start, delay: delay, sts: map[string]*steer.State{}}
 	list := replicas(1)
 	list[0].Slots = slots
 	for i := range count {
-		ch.names = append(ch.names, fmt.Sprintf("instance-%02d", i))
+		cc.names = append(cc.names, fmt.Sprintf("instance-%02d", i))
 	}
-	for i, name := range ch.names {
-		ch.sts[name] = steer.New(steer.Options{Name: name, FailureDomain: "a", Run: 1, Seed: uint64(i) + 1})
-		ch.tell(name, steer.Configured{Routing: &decl.Routing{Version: 1, Services: map[string]decl.Pool{"lyric": {Engine: &figures}}}})
+	for i, name := range cc.names {
+		cc.sts[name] = steer.New(steer.Options{Name: name, FailureDomain: "a", Run: 1, Seed: uint64(i) + 1})
+		cc.reduce(name, steer.Configured{Routing: &decl.Routing{Version: 1, Services: map[string]decl.Pool{"lyric": {Engine: &figures}}}})
 		var others []steer.Instance
-		for _, other := range ch.names {
+		for _, other := range cc.names {
 			if other != name {
 				others = append(others, steer.Instance{Name: other, FailureDomain: "a"})
 			}
 		}
-		ch.tell(name, steer.Peered{Instances: others})
-		ch.tell(name, steer.Listed{Replicas: list})
+		cc.reduce(name, steer.Peered{Instances: others})
+		cc.reduce(name, steer.Listed{Replicas: list})
 	}
-	return ch
+	return cc
 }
 
-// tell hands an event to an instance and posts the notes that follow.
-func (ch *choir) tell(name string, ev steer.Event) {
-	for _, eff := range ch.sts[name].Reduce(ch.now, ev) {
+// reduce passes an event to an instance, schedules the resulting notes and wakes, and records its sends.
+func (cc *claimCluster) reduce(name string, ev steer.Event) {
+	for _, eff := range cc.sts[name].Reduce(cc.now, ev) {
 		switch eff := eff.(type) {
 		case steer.Tell:
-			for _, other := range ch.names {
+			for _, other := range cc.names {
 				if other != name && (eff.To == nil || slices.Contains(eff.To, other)) {
-					ch.post = append(ch.post, letter{ch.now.Add(ch.delay), other, steer.Heard{Note: eff.Note}})
+					cc.notes = append(cc.notes, delayedEvent{cc.now.Add(cc.delay), other, steer.Heard{Note: eff.Note}})
 				}
 			}
 		case steer.Wake:
-			ch.wakes = append(ch.wakes, letter{ch.now.Add(eff.After), name, steer.Ticked{}})
+			cc.wakes = append(cc.wakes, delayedEvent{cc.now.Add(eff.After), name, steer.Ticked{}})
 		case steer.Send:
-			ch.sends = append(ch.sends, eff)
+			cc.sends = append(cc.sends, eff)
 		}
 	}
 }
 
-// pass lets time go by in steps of half a millisecond.
-func (ch *choir) pass(period time.Duration) {
-	for until := ch.now.Add(period); ch.now.Before(until); {
-		ch.now = ch.now.Add(500 * time.Microsecond)
-		for _, box := range []*[]letter{&ch.post, &ch.wakes} {
+// pass advances the time by the period in steps of half a millisecond and delivers the events that are due.
+func (cc *claimCluster) pass(period time.Duration) {
+	for until := cc.now.Add(period); cc.now.Before(until); {
+		cc.now = cc.now.Add(500 * time.Microsecond)
+		for _, box := range []*[]delayedEvent{&cc.notes, &cc.wakes} {
 			due := *box
 			*box = nil
-			for _, let := range due {
-				if let.at.After(ch.now) {
-					*box = append(*box, let)
+			for _, de := range due {
+				if de.at.After(cc.now) {
+					*box = append(*box, de)
 					continue
 				}
-				ch.tell(let.to, let.ev)
+				cc.reduce(de.to, de.ev)
 			}
 		}
 	}
 }
 
-func (ch *choir) arrive(name string, id steer.RequestID) {
-	ch.tell(name, steer.Arrived{
+func (cc *claimCluster) arrive(name string, id steer.RequestID) {
+	cc.reduce(name, steer.Arrived{
 		ID: id, Route: &short, Prompt: 5000, Answer: 1000, Digest: steer.Digest(id),
-		Deadline: ch.now.Add(10 * time.Second), Patience: ch.now.Add(2 * time.Second),
+		Deadline: cc.now.Add(10 * time.Second), Patience: cc.now.Add(2 * time.Second),
 	})
 }
 
-func TestOneSlotTakesOne(t *testing.T) {
-	// Requests arrive at several instances within a note's time of each other, and an engine has one slot left. If all are
-	// sent, all but one wait at the engine for as long as a stream takes, while their callers' time runs.
+func TestLastSlotGetsOneRequest(t *testing.T) {
+	// Requests arrive at several instances within the delay of a note, and an engine has one slot left. If all of them were
+	// sent, all but one would wait at the engine for as long as a stream takes, while their callers' deadlines run.
 	for _, count := range []int{2, 3, 10, 30} {
 		t.Run(fmt.Sprint(count, " instances"), func(t *testing.T) {
-			ch := newChoir(t, count, 1, 1500*time.Microsecond)
-			for i, name := range ch.names {
-				ch.arrive(name, steer.RequestID(i+1))
+			cc := newClaimCluster(t, count, 1, 1500*time.Microsecond)
+			for i, name := range cc.names {
+				cc.arrive(name, steer.RequestID(i+1))
 				if i%3 == 2 {
-					ch.pass(500 * time.Microsecond)
+					cc.pass(500 * time.Microsecond)
 				}
 			}
-			ch.pass(100 * time.Millisecond)
-			assert.Equal(t, len(ch.sends), 1)
+			cc.pass(100 * time.Millisecond)
+			assert.Equal(t, len(cc.sends), 1)
 		})
 	}
 }
 
-func TestFreeSlotsAreTaken(t *testing.T) {
-	// As many slots as requests: none may be left waiting because others might have taken its slot.
-	ch := newChoir(t, 6, 6, 1500*time.Microsecond)
-	for i, name := range ch.names {
-		ch.arrive(name, steer.RequestID(i+1))
+func TestEveryFreeSlotIsUsed(t *testing.T) {
+	// There are as many slots as requests. No request may be left waiting because another instance might have taken its
+	// slot.
+	cc := newClaimCluster(t, 6, 6, 1500*time.Microsecond)
+	for i, name := range cc.names {
+		cc.arrive(name, steer.RequestID(i+1))
 	}
-	ch.pass(150 * time.Millisecond)
-	assert.Equal(t, len(ch.sends), 6)
+	cc.pass(150 * time.Millisecond)
+	assert.Equal(t, len(cc.sends), 6)
 }
 
-func TestCallerThatLeavesTakesItsClaimAlong(t *testing.T) {
-	ch := newChoir(t, 2, 1, 1500*time.Microsecond)
-	ch.arrive(ch.names[0], 1)
-	ch.tell(ch.names[0], steer.CallerGone{ID: 1})
-	ch.pass(10 * time.Millisecond)
-	assert.Equal(t, len(ch.sends), 0)
-	ch.arrive(ch.names[1], 2)
-	ch.pass(20 * time.Millisecond)
-	assert.Equal(t, len(ch.sends), 1)
-	assert.Equal(t, ch.sends[0].ID, steer.RequestID(2))
+func TestLeavingCallerWithdrawsClaim(t *testing.T) {
+	// The caller leaves while its request claims the only slot. The request must not be sent, and another one gets the slot.
+	cc := newClaimCluster(t, 2, 1, 1500*time.Microsecond)
+	cc.arrive(cc.names[0], 1)
+	cc.reduce(cc.names[0], steer.CallerGone{ID: 1})
+	cc.pass(10 * time.Millisecond)
+	assert.Equal(t, len(cc.sends), 0)
+	cc.arrive(cc.names[1], 2)
+	cc.pass(20 * time.Millisecond)
+	assert.Equal(t, len(cc.sends), 1)
+	assert.Equal(t, cc.sends[0].ID, steer.RequestID(2))
 }
 
-func TestSecondAttemptIsHeardOf(t *testing.T) {
-	// A request is sent again right after its first attempt ended. The others remember that end against a start that comes
-	// late; the second attempt must not be taken for that one, or its engine counts as free.
-	ch := newChoir(t, 2, 1, 1500*time.Microsecond)
-	ch.arrive(ch.names[0], 1)
-	ch.pass(20 * time.Millisecond)
-	assert.Equal(t, len(ch.sends), 1)
-	ch.tell(ch.names[0], steer.AttemptEnded{ID: 1, Attempt: 1, Result: steer.ResultNotSent})
+func TestSecondAttemptIsBookedByPeers(t *testing.T) {
+	// A request is sent again right after its first attempt ended. The other instances keep that end, so that a late start
+	// of the same attempt is ignored. They must not take the second attempt for the first, or its engine would count as
+	// free.
+	cc := newClaimCluster(t, 2, 1, 1500*time.Microsecond)
+	cc.arrive(cc.names[0], 1)
+	cc.pass(20 * time.Millisecond)
+	assert.Equal(t, len(cc.sends), 1)
+	cc.reduce(cc.names[0], steer.AttemptEnded{ID: 1, Attempt: 1, Result: steer.ResultNotSent})
 	list := replicas(2)[:2]
 	list[0].Slots, list[1].Slots = 1, 1
-	for _, name := range ch.names {
-		ch.tell(name, steer.Listed{Replicas: list})
+	for _, name := range cc.names {
+		cc.reduce(name, steer.Listed{Replicas: list})
 	}
-	ch.pass(50 * time.Millisecond)
-	assert.Equal(t, len(ch.sends), 2)
-	ch.arrive(ch.names[1], 2)
-	ch.pass(50 * time.Millisecond)
-	for _, sent := range ch.sends[2:] {
-		assert.Assert(t, sent.Replica.Name != ch.sends[1].Replica.Name)
+	cc.pass(50 * time.Millisecond)
+	assert.Equal(t, len(cc.sends), 2)
+	cc.arrive(cc.names[1], 2)
+	cc.pass(50 * time.Millisecond)
+	for _, sent := range cc.sends[2:] {
+		assert.Assert(t, sent.Replica.Name != cc.sends[1].Replica.Name)
 	}
 }
--- a/internal/steer/grant.go
+++ b/internal/steer/grant.go
@@ -8,64 +8,69 @@
 	"golang.org/x/time/rate"
 )
 
-// Grants. One instance grants the sends to a limited replica, the first by rendezvous hashing of the replica's name, so
-// that nobody need be elected. It keeps one schedule for all: a request that wants the replica asks for a send, and is told
-// when it may go or when there will be room. So the limit follows demand from one request to the next, and may be lower
-// than the instances are many. Where instances do not agree on who grants, each of the two hears of the other's sends and
-// counts them; one that hears only some of the others grants only their share.
+// Grants of sends to rate-limited replicas. One instance grants all sends to a limited replica. It is chosen by rendezvous
+// hashing of the replica's name, so no election is needed. It keeps a single schedule: a request for the replica asks for a
+// send, and the answer states when it may be sent or when capacity will be available. The capacity thus follows demand from
+// one request to the next, and the limit may be lower than the number of instances. Where instances disagree on who grants,
+// each of the two receives notes of the other's sends and counts them. An instance that reaches only some of the others
+// grants only their share of the limit.
 
 const (
-	// silentTime is how long an instance that did not answer is passed over.
+	// silentTime is how long an instance that did not answer is skipped when the granting instance is chosen.
 	silentTime = time.Second
-	// askersPerSend is how many of those that are refused come back for each send that gets free: with all of them, the
-	// asks would grow with the instances.
-	askersPerSend = 4
-	// substituteShare is the part of a limit that is granted until it shows that the instance that should grant is gone: where
-	// instances were cut off from each other instead, it grants the whole to its part.
+	// retriesPerSend is how many refused requests ask again for each send that becomes available. If all of them did, the
+	// number of asks would grow with the number of instances.
+	retriesPerSend = 4
+	// substituteShare is the part of the limit that a substitute grants until the instance that should grant is known to be
+	// gone. In a network partition that instance still grants the whole limit to its own side.
 	substituteShare = 0.25
-	// longestQueue bounds how far ahead sends are granted.
-	longestQueue = 4 * time.Second
-	// topMemory is for how long the highest worth that was asked for holds others back.
-	topMemory = 2 * time.Second
-	// lesserEach is every which grant goes by arrival alone, so that requests of little worth do not starve.
-	lesserEach = 4
-	// grantMemory is how long after its time a grant is remembered for the note of its send.
-	grantMemory = time.Second
+	// maxGrantDelay is the maximum time by which a send is granted in advance.
+	maxGrantDelay = 4 * time.Second
+	// topValueTTL is how long the highest requested value restricts requests of lower value.
+	topValueTTL = 2 * time.Second
+	// maxTopGrants is the number of grants in a row to requests of the highest value after which a request of lower value
+	// may use the whole queue. Otherwise requests of low value would starve.
+	maxTopGrants = 4
+	// grantRetention is how long after its time a grant is kept, so that the note about its send is not counted again.
+	grantRetention = time.Second
 )
 
-// Ask asks for a send to a limited replica.
+// Ask requests a send to a rate-limited replica from the instance that grants them.
 type Ask struct {
 	Job     JobID  `cbor:"1,keyasint,omitempty"`
 	Replica string `cbor:"2,keyasint,omitempty"`
-	// WaitMs is the longest wait that is accepted, little more than was reckoned when the replica was chosen, MostMs the longest
-	// that makes sense. Value is the request's worth.
-	WaitMs int32   `cbor:"3,keyasint,omitempty"`
-	MostMs int32   `cbor:"4,keyasint,omitempty"`
-	Value  float32 `cbor:"5,keyasint,omitempty"`
-	// Recent counts the sends of all instances in limitSpan that the one that asks knows of: an instance that takes over the
-	// granting, or one whose notes are lost, may know of fewer.
+	// AcceptedWaitMs is the longest wait in ms that the request accepts: slightly more than the estimate by which the
+	// replica was chosen.
+	AcceptedWaitMs int32 `cbor:"3,keyasint,omitempty"`
+	// MaxWaitMs is the longest wait in ms that makes sense: after more the request would be too late.
+	MaxWaitMs int32 `cbor:"4,keyasint,omitempty"`
+	// Value is the value of the request.
+	Value float32 `cbor:"5,keyasint,omitempty"`
+	// Recent counts the sends of all instances within limitSpan that the asking instance knows of. The granting instance may
+	// know of fewer if it has just taken over or has lost notes.
 	Recent int `cbor:"6,keyasint,omitempty"`
 }
 
-// maxValue bounds what an ask may claim to be worth, far above the longest prompt.
+// maxValue is the highest value accepted in an Ask, far above that of the longest prompt.
 const maxValue = 1e6
 
 // Grant answers an Ask.
 type Grant struct {
 	Job     JobID  `cbor:"1,keyasint,omitempty"`
 	Replica string `cbor:"2,keyasint,omitempty"`
-	// AfterMs is when the request may be sent, or if it was refused when there will be room.
+	// AfterMs is the time in ms until the request may be sent or, if it was refused, until it should ask again.
 	AfterMs int32 `cbor:"3,keyasint,omitempty"`
-	Refused bool  `cbor:"4,keyasint,omitempty"`
+	// Refused reports that no send was granted.
+	Refused bool `cbor:"4,keyasint,omitempty"`
 }
 
-func (an *Ask) valid() bool {
-	return an.Replica != "" && an.WaitMs >= 0 && an.MostMs >= 0 && an.Value >= 0 && an.Value <= maxValue && an.Recent >= 0
+func (ak *Ask) valid() bool {
+	return ak.Replica != "" && ak.AcceptedWaitMs >= 0 && ak.MaxWaitMs >= 0 && ak.Value >= 0 && ak.Value <= maxValue && ak.Recent >= 0
 }
 
 func (gr *Grant) valid() bool { return gr.Replica != "" && gr.AfterMs >= 0 }
 
-// granters names the instances of which one grants sends to the replica: those that may use it.
+// granters returns the subset whose users may grant sends to the replica: the instances that may use it.
 func (st *State) granters(rep *replica) subset {
 	svc := st.serviceOf(rep.Service)
 	if svc.engine == nil {
@@ -74,11 +79,12 @@
 	return st.layoutOf(svc).ofReplica(rep)
 }
 
-// granter is the instance that grants sends to the replica, by all that is known here.
+// granter returns the name of the instance that grants sends to the replica, as far as is known here.
 func (st *State) granter(rep *replica) string { return st.firstGranter(rep, true) }
 
-// firstGranter is the first by rank of those that may grant sends to the replica; passing leaves out those that were silent.
-func (st *State) firstGranter(rep *replica, passing bool) string {
+// firstGranter returns the highest-ranked instance that may grant sends to the replica. With skipSilent, instances that
+// recently failed to answer are left out.
+func (st *State) firstGranter(rep *replica, skipSilent bool) string {
 	sub := st.granters(rep)
 	best, highest := "", uint64(0)
 	consider := func(name string) {
@@ -90,24 +96,24 @@
 		consider(st.Options.Name)
 	}
 	for _, name := range st.othersUsing(sub) {
-		if !passing || st.now.Sub(st.silent[name]) >= silentTime {
+		if !skipSilent || st.now.Sub(st.silent[name]) >= silentTime {
 			consider(name)
 		}
 	}
 	return cmp.Or(best, st.Options.Name)
 }
 
-// substitutes tells that this instance grants in the place of one that was heard lately: that may be gone, or grant to others
-// from whom this one was just cut off.
-func (st *State) substitutes(rep *replica) bool {
+// isSubstitute reports whether this instance grants in place of one that sent notes recently. That instance may be gone, or
+// it may still grant sends to others on the far side of a network partition.
+func (st *State) isSubstitute(rep *replica) bool {
 	first := st.firstGranter(rep, false)
 	_, heard := st.peers[first]
 	return first != st.Options.Name && heard
 }
 
-// heardShare is the part of the instances that are heard of those that are registered and tell this one of their work. Cut
-// off from the others, an instance cannot know what they send.
-func (st *State) heardShare() float64 {
+// reachableShare returns the share of the registered instances in this instance's subsets from which notes arrive, itself
+// included. During a network partition an instance cannot know what the unreachable ones send.
+func (st *State) reachableShare() float64 {
 	registered, heard := 1, 1
 	for _, svc := range st.services {
 		if svc.engine == nil {
@@ -123,69 +129,72 @@
 	return float64(heard) / float64(registered)
 }
 
-// grantRate is how many sends a second this instance grants.
+// grantRate returns how many sends a second this instance grants. Renewals of memory reservations are subtracted from the
+// limit.
 func (st *State) grantRate(rep *replica) float64 {
-	perS := rep.limit.perS - ticketRate*float64(rep.tickets())
-	if st.substitutes(rep) {
+	perS := rep.limit.perS - reservationRate*float64(rep.reservations())
+	if st.isSubstitute(rep) {
 		perS *= substituteShare
 	}
-	return max(leastRate, perS) * st.heardShare()
+	return max(minRate, perS) * st.reachableShare()
 }
 
-// grant books a send if there is room within the wait; after is when it may go, or when there is room.
-func (st *State) grant(rep *replica, key jobKey, wish *Ask) (after time.Duration, ok bool) {
+// grant books a send if one is available within the accepted wait. It returns the time until the send or, if ok is false,
+// the time after which the request should ask again.
+func (st *State) grant(rep *replica, key jobKey, ak *Ask) (after time.Duration, ok bool) {
 	rl := rep.limit
-	if turn, known := rl.granted[key]; known {
-		// The answer was lost.
-		return max(0, turn.Sub(st.now)), true
+	if sendAt, known := rl.grants[key]; known {
+		// The answer was lost, so the request asked again.
+		return max(0, sendAt.Sub(st.now)), true
 	}
 	perS := st.grantRate(rep)
 	rl.bucket.SetLimitAt(st.now, rate.Limit(perS))
 	reserved := rl.bucket.ReserveN(st.now, 1)
 	after = reserved.DelayFrom(st.now)
-	// No span holds more than the rate allows, what was sent before the limit was heard included.
-	holds := int(perS*limitSpan.Seconds()) + 1
-	if len(rep.sends) >= holds {
-		after = max(after, rep.sends[len(rep.sends)-holds].Add(limitSpan).Sub(st.now))
-	} else if wish.Recent >= holds {
+	// No window of limitSpan may contain more sends than the rate allows, including those from before the limit was
+	// received.
+	maxInSpan := int(perS*limitSpan.Seconds()) + 1
+	if len(rep.sends) >= maxInSpan {
+		after = max(after, rep.sends[len(rep.sends)-maxInSpan].Add(limitSpan).Sub(st.now))
+	} else if ak.Recent >= maxInSpan {
 		after = max(after, duration(1000/perS))
 	}
-	value := float64(wish.Value)
-	most := min(time.Duration(wish.MostMs)*time.Millisecond, rl.queueFor(st.now, value))
-	if after > min(most, time.Duration(wish.WaitMs)*time.Millisecond) {
+	value := float64(ak.Value)
+	maxWait := min(time.Duration(ak.MaxWaitMs)*time.Millisecond, rl.maxDelayFor(st.now, value))
+	if after > min(maxWait, time.Duration(ak.AcceptedWaitMs)*time.Millisecond) {
 		reserved.CancelAt(st.now)
-		if after <= most {
+		if after <= maxWait {
 			return after, false
 		}
-		rl.refused++
-		return after + min(limitSpan, duration(1000*float64(rl.refused)/(askersPerSend*perS))), false
+		rl.refusals++
+		return after + min(limitSpan, duration(1000*float64(rl.refusals)/(retriesPerSend*perS))), false
 	}
-	rl.refused = 0
-	rl.lesser++
-	if value < rl.top {
-		rl.lesser = 0
+	rl.refusals = 0
+	rl.topGrants++
+	if value < rl.topValue {
+		rl.topGrants = 0
 	}
-	rep.sent(st.now, st.now.Add(after))
+	rep.recordSend(st.now, st.now.Add(after))
 	if key.from != "" {
-		rl.granted[key] = st.now.Add(after)
+		rl.grants[key] = st.now.Add(after)
 	}
 	return after, true
 }
 
-// queueFor is how far ahead a send of the worth may be granted. The far end of the queue is left to what is worth most: by
-// arrival alone, many short requests would keep out the few that are worth more.
-func (rl *rateLimit) queueFor(now time.Time, value float64) time.Duration {
-	if value >= rl.top || now.Sub(rl.topAt) > topMemory {
-		rl.top, rl.topAt = value, now
-		return longestQueue
+// maxDelayFor returns how far ahead a send for a request of the value may be granted. The far end of the queue is reserved
+// for the highest values. In order of arrival alone, many short requests would crowd out the few of higher value.
+func (rl *rateLimit) maxDelayFor(now time.Time, value float64) time.Duration {
+	if value >= rl.topValue || now.Sub(rl.topValueAt) > topValueTTL {
+		rl.topValue, rl.topValueAt = value, now
+		return maxGrantDelay
 	}
-	if rl.lesser >= lesserEach {
-		return longestQueue
+	if rl.topGrants >= maxTopGrants {
+		return maxGrantDelay
 	}
-	return time.Duration(value / rl.top * float64(longestQueue))
+	return time.Duration(value / rl.topValue * float64(maxGrantDelay))
 }
 
-// forgetGrants drops the grants whose sends were not heard of, and what is known of instances that were silent.
+// forgetGrants drops expired grants for whose sends no note arrived, and expired entries of unresponsive instances.
 func (st *State) forgetGrants() {
 	for name, at := range st.silent {
 		if st.now.Sub(at) >= silentTime {
@@ -196,29 +205,29 @@
 		if rep.limit == nil {
 			continue
 		}
-		for key, turn := range rep.limit.granted {
-			if st.now.Sub(turn) > grantMemory {
-				delete(rep.limit.granted, key)
+		for key, sendAt := range rep.limit.grants {
+			if st.now.Sub(sendAt) > grantRetention {
+				delete(rep.limit.grants, key)
 			}
 		}
 	}
 }
 
-// asked answers another instance's asks.
-func (st *State) asked(from string, wishes []Ask) {
-	for i := range wishes {
-		wish := &wishes[i]
-		rep, ok := st.replicas[wish.Replica]
+// receiveAsks answers the asks of another instance.
+func (st *State) receiveAsks(from string, asks []Ask) {
+	for i := range asks {
+		ak := &asks[i]
+		rep, ok := st.replicas[ak.Replica]
 		if !ok || rep.limit == nil && rep.limitEnded.IsZero() {
-			// The one that asks knows of another incarnation; the next by rank may know it too.
+			// The asking instance knows another incarnation of the replica. The next instance by rank may know it too.
 			continue
 		}
 		reply := Note{}
-		grant := Grant{Job: wish.Job, Replica: wish.Replica}
+		grant := Grant{Job: ak.Job, Replica: ak.Replica}
 		if rep.limit == nil {
 			reply.Limits = []Limit{st.limitOf(rep)}
 		} else {
-			after, ok := st.grant(rep, jobKey{from, wish.Job}, wish)
+			after, ok := st.grant(rep, jobKey{from, ak.Job}, ak)
 			grant.AfterMs, grant.Refused = millis(after+time.Millisecond-1), !ok
 		}
 		reply.Grants = []Grant{grant}
--- a/internal/steer/limit.go
+++ b/internal/steer/limit.go
@@ -9,61 +9,73 @@
 	"golang.org/x/time/rate"
 )
 
-// Rate limits. A replica in need names in its answers how many requests a second it takes from all instances together. Load
-// pattern: short prompts gather at few engines, each instance sends there for itself, and an instance that kept to the limit
-// alone would still let the replica get the limit times the instances. What an instance hears it tells the others; who may
-// send is in grant.go. All that reaches the replica counts: first tries, repeats, resumed streams, parts of prompts and
-// orders for memory.
+// Rate limits of replicas. An overloaded replica states in its answers how many requests a second it accepts from all
+// instances together. Load pattern: short prompts concentrate on a few engines and each instance sends there on its own. If
+// each instance applied the limit by itself, the replica would receive the limit times the number of instances. An instance
+// therefore forwards each limit that it receives to the others; grant.go decides which instance may send. Everything that
+// reaches the replica counts: first attempts, retries, resumed streams, parts of prompts and memory reservations.
 
 const (
-	// limitSpan is the span over which sends are counted. What was sent before the limit was heard counts too.
+	// limitSpan is the sliding window over which sends are counted. Sends from before the limit was received count too.
 	limitSpan = 4 * time.Second
-	// limitBurst is how many sends may go at once that were not used before.
+	// limitBurst is the size of the token bucket: how many unused sends may go at once.
 	limitBurst = 2
-	// leastRate stands for a lower limit in requests a second: a replica that nobody asks cannot say that its limit has ended.
-	leastRate = 0.25
-	// TicketRenew is how often memory that is set aside at a replica is renewed, ticketRate the orders a second that it takes.
+	// minRate replaces any lower limit, in requests a second. A replica that receives no requests sends no answers, so it
+	// could never announce that its limit has ended.
+	minRate = 0.25
+	// TicketRenew is the interval at which a memory reservation at a replica is renewed.
 	TicketRenew = 1200 * time.Millisecond
-	ticketRate  = float64(time.Second) / float64(TicketRenew)
-	// limitStale is the age of a limit from which a request is welcome to find out whether it still holds.
+	// reservationRate is the number of requests a second that renewing one reservation takes.
+	reservationRate = float64(time.Second) / float64(TicketRenew)
+	// limitStale is the age of a limit from which placement prefers the replica, so that a request checks whether the limit
+	// still holds.
 	limitStale = 2 * time.Second
-	// probeGain is the worth of finding that out.
+	// probeGain is the bonus in value that placement gives to such a check.
 	probeGain = 0.5
-	// limitTold is how often at the most a limit that changes is told to all; the summaries bring what was left out.
-	limitTold = 200 * time.Millisecond
-	// maxPerS bounds what a limit from the network may claim.
+	// limitAnnounceInterval is the minimum time between two notes to all about a limit that changes. The periodic summaries
+	// carry the changes in between.
+	limitAnnounceInterval = 200 * time.Millisecond
+	// maxPerS is the highest rate, in requests a second, that is accepted in a note from the network.
 	maxPerS = 1e6
 )
 
-// rateLimit is what a replica takes from all instances together, as it said last.
+// rateLimit is the newest rate limit that a replica stated. It applies to all instances together.
 type rateLimit struct {
+	// perS is the limit in requests a second.
 	perS float64
-	// heard is when the newest answer that named it came to any instance, told when this instance last told all others.
-	heard, told time.Time
-	// roomAt is when the next send is likely to be granted, as this instance was told last.
+	// heard is when the newest answer that stated the limit reached any instance.
+	heard time.Time
+	// announced is when this instance last sent the limit to all others.
+	announced time.Time
+	// roomAt is when the next send is likely to be granted, by the newest answer of the granting instance.
 	roomAt time.Time
-	// bucket and granted are used where this instance grants. granted holds when the jobs may be sent whose sends are counted already.
-	bucket  *rate.Limiter
-	granted map[jobKey]time.Time
-	// top is the highest worth that was asked for lately, topAt when; lesser counts the grants since one of less worth.
-	top    float64
-	topAt  time.Time
-	lesser int
-	// refused counts the asks since the last grant that came to nothing.
-	refused int
-	// used counts the sends of this instance under the limit.
+	// bucket paces the sends that this instance grants. Only the granting instance uses it.
+	bucket *rate.Limiter
+	// grants holds the time at which each granted job may be sent. These sends are already counted. Only the granting
+	// instance uses it.
+	grants map[jobKey]time.Time
+	// topValue is the highest value among the recent asks.
+	topValue float64
+	// topValueAt is when topValue was set.
+	topValueAt time.Time
+	// topGrants counts the grants since the last one to a request below topValue.
+	topGrants int
+	// refusals counts the asks since the last grant that were refused because no send was available in time at all.
+	refusals int
+	// used counts the sends of this instance since the limit was stated.
 	used int64
 }
 
-// Limit is a replica's rate limit in a note.
+// Limit reports a replica's rate limit in a note.
 type Limit struct {
 	Replica string `cbor:"1,keyasint,omitempty"`
-	// Born is the incarnation that named it.
+	// Born is the incarnation of the replica that stated the limit.
 	Born int64 `cbor:"2,keyasint,omitempty"`
-	// PerS is in requests a second, AgeMs how long ago the answer came that named it.
-	PerS  float64 `cbor:"3,keyasint,omitempty"`
-	AgeMs int32   `cbor:"4,keyasint,omitempty"`
-	// Ended tells that an answer to a request sent so long ago named none any more.
+	// PerS is the limit in requests a second.
+	PerS float64 `cbor:"3,keyasint,omitempty"`
+	// AgeMs is how long ago in ms the answer arrived that stated the limit.
+	AgeMs int32 `cbor:"4,keyasint,omitempty"`
+	// Ended reports that the answer to a request sent AgeMs ago stated no limit any more.
 	Ended bool `cbor:"5,keyasint,omitempty"`
 }
 
@@ -71,7 +83,7 @@
 	return lim.Replica != "" && lim.PerS >= 0 && lim.PerS <= maxPerS && lim.AgeMs >= 0
 }
 
-// answered takes what an answer says of its replica's limit.
+// answered applies what an answer states about its replica's limit.
 func (st *State) answered(ev Answered) {
 	rep, ok := st.replicas[ev.Replica]
 	if !ok || rep.Born != ev.Born {
@@ -79,31 +91,32 @@
 	}
 	if !ev.Limited {
 		if st.endLimit(rep, ev.Sent) {
-			st.tellLimits(rep, st.limitOf(rep), true)
+			st.sendLimit(rep, st.limitOf(rep), true)
 			st.dispatch()
 		}
 		return
 	}
 	stale := rep.limit != nil && st.now.Sub(rep.limit.heard) >= limitStale/2
-	changed := st.takeLimit(rep, ev.PerS, st.now)
+	changed := st.updateLimit(rep, ev.PerS, st.now)
 	switch {
 	case rep.limit == nil:
-	case changed && st.now.Sub(rep.limit.told) >= limitTold:
-		rep.limit.told = st.now
-		st.tellLimits(rep, st.limitOf(rep), true)
+	case changed && st.now.Sub(rep.limit.announced) >= limitAnnounceInterval:
+		rep.limit.announced = st.now
+		st.sendLimit(rep, st.limitOf(rep), true)
 	case stale:
-		st.tellLimits(rep, st.limitOf(rep), false)
+		st.sendLimit(rep, st.limitOf(rep), false)
 	}
 }
 
-// takeLimit believes what the replica said at the time if nothing newer is known, and tells whether that is news.
-func (st *State) takeLimit(rep *replica, perS float64, heard time.Time) bool {
+// updateLimit applies the limit that the replica stated at the time heard, unless something newer is known. It reports
+// whether the limit is new or has changed.
+func (st *State) updateLimit(rep *replica, perS float64, heard time.Time) bool {
 	if math.IsNaN(perS) || perS < 0 || !heard.After(rep.limitEnded) {
 		return false
 	}
 	if rep.limit == nil {
-		rep.limit = &rateLimit{perS: perS, heard: heard, bucket: rate.NewLimiter(rate.Limit(perS), limitBurst), granted: map[jobKey]time.Time{}}
-		st.emit(Line{Message: "rate limit named", Replica: rep.Name, PerS: perS, Age: st.now.Sub(heard)})
+		rep.limit = &rateLimit{perS: perS, heard: heard, bucket: rate.NewLimiter(rate.Limit(perS), limitBurst), grants: map[jobKey]time.Time{}}
+		st.emit(Line{Message: "rate limit announced by replica", Replica: rep.Name, PerS: perS, Age: st.now.Sub(heard)})
 		return true
 	}
 	if !heard.After(rep.limit.heard) {
@@ -118,8 +131,8 @@
 	return true
 }
 
-// endLimit drops the limit if the request whose answer named none was sent after the last answer that did: answers on
-// different connections overtake each other.
+// endLimit drops the limit if the request whose answer stated none was sent after the last answer that stated one arrived.
+// Answers on different connections can overtake each other, so an older answer must not end the limit.
 func (st *State) endLimit(rep *replica, sent time.Time) bool {
 	if rep.limit == nil || !sent.After(rep.limit.heard) {
 		return false
@@ -130,7 +143,7 @@
 	return true
 }
 
-// limitOf is what is known of the replica's limit, for others.
+// limitOf returns the known state of the replica's limit for a note.
 func (st *State) limitOf(rep *replica) Limit {
 	if rep.limit == nil {
 		return Limit{Replica: rep.Name, Born: rep.Born, Ended: true, AgeMs: st.ageMs(rep.limitEnded)}
@@ -138,16 +151,16 @@
 	return Limit{Replica: rep.Name, Born: rep.Born, PerS: rep.limit.perS, AgeMs: st.ageMs(rep.limit.heard)}
 }
 
-// ageMs is how long ago that was, as notes tell it.
+// ageMs returns the time since at in ms, for a note.
 func (st *State) ageMs(at time.Time) int32 {
 	return millis(min(max(0, st.now.Sub(at)), maxLimitAge))
 }
 
-// maxLimitAge is the highest age of a limit in a note: who hears it has heard nothing older.
+// maxLimitAge caps the age of a limit in a note. The cap is harmless, since receivers hold no information that is older.
 const maxLimitAge = time.Hour
 
-// tellLimits tells all that may use the replica, or only the one that grants sends to it.
-func (st *State) tellLimits(rep *replica, lim Limit, all bool) {
+// sendLimit sends the limit to all instances that may use the replica, or only to the one that grants sends to it.
+func (st *State) sendLimit(rep *replica, lim Limit, all bool) {
 	to := st.users(st.granters(rep))
 	if !all {
 		granter := st.granter(rep)
@@ -159,37 +172,37 @@
 	st.emit(Tell{Note: st.note(Note{Limits: []Limit{lim}}), To: to})
 }
 
-// summarizeLimits tells again of the limits of the replicas for which this instance grants. The cost grows with the limited
-// replicas, not with the instances times the replicas.
+// summarizeLimits repeats the limits of the replicas for which this instance grants sends. The cost grows with the number of
+// limited replicas, not with the number of instances times the number of replicas.
 func (st *State) summarizeLimits() {
 	limits := map[subset][]Limit{}
-	for _, rep := range st.limited() {
+	for _, rep := range st.limitedReplicas() {
 		if st.granter(rep) == st.Options.Name {
 			sub := st.granters(rep)
 			limits[sub] = append(limits[sub], st.limitOf(rep))
 		}
 	}
 	for _, sub := range inOrder(limits) {
-		for part := range slices.Chunk(limits[sub], summaryJobs) {
+		for part := range slices.Chunk(limits[sub], maxSummaryJobs) {
 			st.emit(Tell{Note: st.note(Note{Limits: part}), To: st.users(sub)})
 		}
 	}
 }
 
-// limited lists the replicas that are limited, by name.
-func (st *State) limited() []*replica {
+// limitedReplicas returns the replicas that have a rate limit, sorted by name.
+func (st *State) limitedReplicas() []*replica {
 	var list []*replica
 	for _, rep := range st.replicas {
 		if rep.limit != nil && !rep.gone {
 			list = append(list, rep)
 		}
 	}
-	slices.SortFunc(list, func(one, two *replica) int { return cmp.Compare(one.Name, two.Name) })
+	slices.SortFunc(list, func(a, b *replica) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
 
-// heardLimit takes what another instance tells of a limit.
-func (st *State) heardLimit(lim *Limit) {
+// receiveLimit applies a limit from another instance's note.
+func (st *State) receiveLimit(lim *Limit) {
 	rep, ok := st.replicas[lim.Replica]
 	if !ok || rep.Born != lim.Born {
 		return
@@ -199,25 +212,25 @@
 		st.endLimit(rep, at)
 		return
 	}
-	st.takeLimit(rep, lim.PerS, at)
+	st.updateLimit(rep, lim.PerS, at)
 }
 
-// sent counts a request that reaches the replica at the time, which lies ahead for one that was granted.
-func (rep *replica) sent(now, at time.Time) {
-	over := 0
-	for over < len(rep.sends) && now.Sub(rep.sends[over]) >= limitSpan {
-		over++
+// recordSend counts a request that reaches the replica at the given time, which is in the future for a granted send.
+func (rep *replica) recordSend(now, at time.Time) {
+	expired := 0
+	for expired < len(rep.sends) && now.Sub(rep.sends[expired]) >= limitSpan {
+		expired++
 	}
-	rep.sends = slices.Delete(rep.sends, 0, over)
-	place := len(rep.sends)
-	for place > 0 && rep.sends[place-1].After(at) {
-		place--
+	rep.sends = slices.Delete(rep.sends, 0, expired)
+	idx := len(rep.sends)
+	for idx > 0 && rep.sends[idx-1].After(at) {
+		idx--
 	}
-	rep.sends = slices.Insert(rep.sends, place, at)
+	rep.sends = slices.Insert(rep.sends, idx, at)
 }
 
-// recent counts the requests that reached the replica in the last limitSpan.
-func (rep *replica) recent(now time.Time) int {
+// recentSends counts the requests that reached the replica within the last limitSpan.
+func (rep *replica) recentSends(now time.Time) int {
 	count := 0
 	for _, at := range rep.sends {
 		if now.Sub(at) < limitSpan && !at.After(now) {
@@ -227,8 +240,8 @@
 	return count
 }
 
-// tickets counts the parts of prompts for which memory is set aside at the replica.
-func (rep *replica) tickets() int {
+// reservations counts the parts of prompts for which memory is reserved at the replica.
+func (rep *replica) reservations() int {
 	count := 0
 	for i := range rep.works {
 		if wk := &rep.works[i]; !wk.first && wk.tokens > 0 {
@@ -238,55 +251,57 @@
 	return count
 }
 
-// countSends counts what an own attempt sends: the request, and at each helper its part and the order for its memory.
+// countSends counts what an attempt of this instance sends: the request, and to each helper its part of the prompt and the
+// memory reservation for it.
 func (st *State) countSends(req *request) {
 	for i, rep := range req.reps {
 		if rep.limit != nil {
 			rep.limit.used++
 		}
 		if i == 0 && req.ask.granter == st.Options.Name && req.ask.rep == rep {
-			// The grant is counted.
+			// The send was counted when it was granted.
 			continue
 		}
-		rep.sent(st.now, st.now)
+		rep.recordSend(st.now, st.now)
 		if i > 0 && i <= len(req.tickets) {
-			rep.sent(st.now, st.now)
+			rep.recordSend(st.now, st.now)
 		}
 	}
 }
 
-// countJob counts what another instance's job sends to one of its replicas.
-func (st *State) countJob(rep *replica, key jobKey, job *Job, place int) {
+// countPeerSend counts what another instance's job sends to the replica at index idx of the job.
+func (st *State) countPeerSend(rep *replica, key jobKey, job *Job, idx int) {
 	if isSurvey(key.from) {
 		return
 	}
-	if rep.limit != nil && place == 0 {
-		if _, ok := rep.limit.granted[key]; ok {
-			delete(rep.limit.granted, key)
+	if rep.limit != nil && idx == 0 {
+		if _, ok := rep.limit.grants[key]; ok {
+			delete(rep.limit.grants, key)
 			return
 		}
 	}
 	at := st.now.Add(-time.Duration(job.Age) * time.Millisecond)
-	rep.sent(st.now, at)
-	if place > 0 && place <= len(job.Tickets) {
-		rep.sent(st.now, at)
+	rep.recordSend(st.now, at)
+	if idx > 0 && idx <= len(job.Tickets) {
+		rep.recordSend(st.now, at)
 	}
 }
 
-// LimitStatus is a limit in force as this instance knows it.
+// LimitStatus describes a rate limit in force as this instance knows it.
 type LimitStatus struct {
 	Replica string
 	PerS    float64
-	// Recent counts the sends of all instances that are known here, in limitSpan; Used those of this instance so far.
+	// Recent counts the sends of all instances within the last limitSpan, as far as they are known here.
 	Recent int
-	Used   int64
+	// Used counts the sends of this instance since the limit was stated.
+	Used int64
 }
 
-// Limits lists the limits in force.
+// Limits returns the limits in force, sorted by the name of the replica.
 func (st *State) Limits(now time.Time) []LimitStatus {
 	var list []LimitStatus
-	for _, rep := range st.limited() {
-		list = append(list, LimitStatus{Replica: rep.Name, PerS: rep.limit.perS, Recent: rep.recent(now), Used: rep.limit.used})
+	for _, rep := range st.limitedReplicas() {
+		list = append(list, LimitStatus{Replica: rep.Name, PerS: rep.limit.perS, Recent: rep.recentSends(now), Used: rep.limit.used})
 	}
 	return list
 }
--- a/internal/steer/limit_parts_test.go
+++ b/internal/steer/limit_parts_test.go
@@ -10,8 +10,8 @@
 	"dandelionsail.example/dandelionsail/internal/steer"
 )
 
-// spread are so many engines and plain replicas over three failure domains.
-func spread(engines, plain int) []steer.Replica {
+// spreadReplicas returns engines and plain replicas distributed over three failure domains.
+func spreadReplicas(engines, plain int) []steer.Replica {
 	var list []steer.Replica
 	for i := range engines {
 		list = append(list, steer.Replica{Name: fmt.Sprintf("lyric-%d", i), Born: 1, Service: "lyric", Address: fmt.Sprintf("a%d", i), FailureDomain: string(rune('a' + i%3)), Slots: 16})
@@ -23,12 +23,13 @@
 }
 
 func TestLimitHoldsWithSubsets(t *testing.T) {
-	// With hundreds of replicas an instance weighs a part of them and hears of the requests at these alone; calls of plain services
-	// are told within failure domains. A limit holds for the instances of all of them.
+	// With hundreds of replicas an instance considers only a subset of them and receives notes only about requests there.
+	// Notes about calls to plain services stay within a failure domain. A limit must still hold for the sends of all
+	// instances together.
 	for _, instances := range []int{60, 300} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
 			t.Parallel()
-			lw := newLimitWorld(1, instances, spread(120, 6), usualBudget)
+			lw := newLimitWorld(1, instances, spreadReplicas(120, 6), usualBudget)
 			lw.load(200, 13*time.Second, &short, 5000)
 			lw.load(40, 13*time.Second, &update, 0)
 			lw.pass(2 * time.Second)
@@ -41,25 +42,26 @@
 			}
 			lw.pass(12 * time.Second)
 			for _, name := range limited {
-				assert.Assert(t, lw.worst(name, 2.1) <= 0, "%s got %d more than allowed", name, lw.worst(name, 2.1))
-				t.Logf("%s got %d in 4 s", name, lw.recent(name, 4*time.Second))
+				assert.Assert(t, lw.maxExcess(name, 2.1) <= 0, "%s got %d more than allowed", name, lw.maxExcess(name, 2.1))
+				t.Logf("%s got %d in 4 s", name, lw.receivedIn(name, 4*time.Second))
 			}
 			t.Logf("%d refused of %d", len(lw.refusals), lw.nextID)
 		})
 	}
 }
 
-func TestLimitHoldsWhereInstancesDoNotHearEachOther(t *testing.T) {
-	// Parts of the instances are cut off from each other, and each part believes at first that it is all: together they keep to the limit,
-	// though nothing excuses any of them.
+func TestLimitHoldsAcrossPartition(t *testing.T) {
+	// A network partition cuts the instances into parts, and each part first assumes that it is the whole fleet. Together
+	// they must keep the limit. maxExcess counts the sends of all of them, since partitioned is not recorded as a
+	// disturbance.
 	for _, parts := range []int{2, 3} {
 		for _, instances := range []int{6, 30} {
 			t.Run(fmt.Sprint(instances, " instances in ", parts, " parts"), func(t *testing.T) {
 				t.Parallel()
 				lw := newLimitWorld(1, instances, replicas(3), usualBudget)
-				place := map[*limitNode]int{}
+				part := map[*limitNode]int{}
 				for i, node := range lw.nodes {
-					place[node] = i % parts
+					part[node] = i % parts
 				}
 				lw.load(40, 22*time.Second, &short, 5000)
 				lw.load(12, 22*time.Second, &update, 0)
@@ -68,13 +70,13 @@
 					lw.name(name, 2.1)
 				}
 				lw.pass(5 * time.Second)
-				lw.parted = func(one, two *limitNode) bool { return place[one] != place[two] }
+				lw.partitioned = func(a, b *limitNode) bool { return part[a] != part[b] }
 				lw.pass(8 * time.Second)
-				lw.parted = nil
+				lw.partitioned = nil
 				lw.pass(6 * time.Second)
 				for _, name := range []string{"lyric-0", "board-0", "board-1"} {
-					assert.Assert(t, lw.worst(name, 2.1) <= 0, "%s got %d more than allowed", name, lw.worst(name, 2.1))
-					t.Logf("%s: %d below the bound at the most", name, -lw.worst(name, 2.1))
+					assert.Assert(t, lw.maxExcess(name, 2.1) <= 0, "%s got %d more than allowed", name, lw.maxExcess(name, 2.1))
+					t.Logf("%s: at least %d below the bound", name, -lw.maxExcess(name, 2.1))
 				}
 			})
 		}
--- a/internal/steer/limit_test.go
+++ b/internal/steer/limit_test.go
@@ -11,8 +11,9 @@
 	"dandelionsail.example/dandelionsail/internal/steer"
 )
 
-func TestLimitHoldsHoweverManyInstances(t *testing.T) {
-	// Each of many instances sends a little, so that a replica that takes two requests a second gets one from each.
+func TestLimitHoldsForAnyNumberOfInstances(t *testing.T) {
+	// Guards against a limit that each instance applies by itself: many instances that each send little would together send
+	// the replica many times the two requests a second that it accepts.
 	for _, instances := range []int{1, 6, 9, 59, 88, 195, 300} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
 			t.Parallel()
@@ -24,15 +25,16 @@
 			}
 			lw.pass(14 * time.Second)
 			for _, name := range []string{"lyric-0", "lyric-1"} {
-				assert.Assert(t, lw.worst(name, 2.1) <= 0, "%s got %d more than allowed", name, lw.worst(name, 2.1))
+				assert.Assert(t, lw.maxExcess(name, 2.1) <= 0, "%s got %d more than allowed", name, lw.maxExcess(name, 2.1))
 			}
 			assert.Equal(t, len(lw.refusals), 0)
 		})
 	}
 }
 
-func TestLimitIsUsedWhereNothingElseIsLeft(t *testing.T) {
-	// All replicas of a plain service name limits. To hold to far less would turn callers away that could be served.
+func TestLimitIsUsedUpWhenAllReplicasAreLimited(t *testing.T) {
+	// Guards against unused capacity: if all replicas of a plain service are limited and far less than the limits is sent,
+	// callers are refused that could be served.
 	for _, instances := range []int{2, 9, 88} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
 			t.Parallel()
@@ -44,8 +46,8 @@
 			}
 			lw.pass(20 * time.Second)
 			for _, name := range []string{"board-0", "board-1"} {
-				assert.Assert(t, lw.worst(name, 3) <= 0, "%s got %d more than allowed", name, lw.worst(name, 3))
-				used := lw.recent(name, 12*time.Second)
+				assert.Assert(t, lw.maxExcess(name, 3) <= 0, "%s got %d more than allowed", name, lw.maxExcess(name, 3))
+				used := lw.receivedIn(name, 12*time.Second)
 				assert.Assert(t, used >= 30, "%s got %d of the 36 that it takes", name, used)
 			}
 			for _, ref := range lw.refusals {
@@ -55,14 +57,15 @@
 	}
 }
 
-func TestWorthGoesFirstUnderALimit(t *testing.T) {
-	// One engine takes three requests a second, of ten with short prompts and two that are worth many times as much, all of which
-	// can wait. By arrival alone each would be served as often; those of less worth must not starve either.
+func TestHigherValueGoesFirstUnderLimit(t *testing.T) {
+	// One engine accepts three requests a second. Ten with short prompts arrive a second, and some with long prompts of many
+	// times the value, and all can wait. In order of arrival both kinds would be served equally often. Requests of lower
+	// value must not starve either.
 	patient := long
 	patient.Name = "patient"
-	cases := map[string]struct{ long, leastLong, leastShort float64 }{
-		"room for all of more worth": {2, 0.6, 0.05},
-		"more of more worth":         {8, 0.25, 0.03},
+	cases := map[string]struct{ long, minLong, minShort float64 }{
+		"capacity for all requests of higher value":   {2, 0.6, 0.05},
+		"more requests of higher value than capacity": {8, 0.25, 0.03},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -80,29 +83,31 @@
 			}
 			part := func(route string) float64 { return float64(served[route]) / float64(arrived[route]) }
 			t.Logf("%.2f of the long prompts served, %.2f of the short ones", part("long"), part("patient"))
-			assert.Assert(t, part("long") >= tc.leastLong && part("patient") >= tc.leastShort)
+			assert.Assert(t, part("long") >= tc.minLong && part("patient") >= tc.minShort)
 		})
 	}
 }
 
-func TestLimitEndsForAll(t *testing.T) {
-	// A replica names its limit no longer while little is sent to it: all instances use it again.
+func TestLimitEndsAtAllInstances(t *testing.T) {
+	// A replica with a limit of 0 ends it while it receives few requests. All instances must notice and use the replica
+	// fully again.
 	lw := newLimitWorld(3, 9, replicas(1), usualBudget)
 	lw.load(12, 30*time.Second, &update, 0)
 	lw.pass(2 * time.Second)
 	lw.name("board-0", 0)
 	lw.pass(8 * time.Second)
-	assert.Assert(t, lw.recent("board-0", 4*time.Second) <= 5)
-	lw.end("board-0")
+	assert.Assert(t, lw.receivedIn("board-0", 4*time.Second) <= 5)
+	lw.endLimit("board-0")
 	lw.pass(6 * time.Second)
 	for _, node := range lw.nodes {
 		assert.Equal(t, len(node.st.Limits(lw.now)), 0, node.name)
 	}
-	assert.Assert(t, lw.recent("board-0", time.Second) >= 3)
+	assert.Assert(t, lw.receivedIn("board-0", time.Second) >= 3)
 }
 
-func TestLaterAnswerDecidesTheLimit(t *testing.T) {
-	// Answers overtake each other: one that names no limit, to a request sent before the limit was heard, does not end it.
+func TestLimitFollowsNewestAnswer(t *testing.T) {
+	// Answers can overtake each other. An answer without a limit to a request that was sent before the limit arrived must
+	// not end the limit.
 	in := newInstance(t, "one", 2)
 	in.reduce(steer.Answered{Replica: "lyric-0", Born: 1, Sent: in.now, Limited: true, PerS: 2})
 	in.reduce(steer.Answered{Replica: "lyric-0", Born: 1, Sent: in.now.Add(-time.Millisecond)})
@@ -112,7 +117,7 @@
 	assert.Equal(t, len(in.st.Limits(in.now)), 0)
 }
 
-func TestAnotherIncarnationHasNoLimit(t *testing.T) {
+func TestNewIncarnationHasNoLimit(t *testing.T) {
 	in := newInstance(t, "one", 1)
 	in.reduce(steer.Answered{Replica: "lyric-0", Born: 1, Sent: in.now, Limited: true, PerS: 2})
 	list := replicas(1)
@@ -125,8 +130,8 @@
 	assert.Equal(t, len(in.st.Limits(in.now)), 0)
 }
 
-func TestLimitIsHeardFromOthers(t *testing.T) {
-	// An instance that hears of a limit by a note alone asks before it sends.
+func TestLimitIsLearnedFromNotes(t *testing.T) {
+	// An instance that knows of a limit only from a note must ask before it sends.
 	in := newInstance(t, "one", 1)
 	in.reduce(steer.Peered{Instances: []steer.Instance{{Name: "two", FailureDomain: "a"}}})
 	in.reduce(steer.Heard{Note: steer.Note{From: "two", Run: 1, Limits: []steer.Limit{{Replica: "lyric-0", Born: 1, PerS: 1}}}})
@@ -144,9 +149,9 @@
 	assert.Assert(t, sent <= 2 && sent+asked > 0, "%d sent, %d asked", sent, asked)
 }
 
-func TestLimitKeptInModel(t *testing.T) {
-	// Instances stop, freeze, are cut off and come back, notes are late or lost, limits change and end: in no span does a replica
-	// get more than the rule allows.
+func TestLimitHoldsUnderRandomFaults(t *testing.T) {
+	// Instances restart, freeze and are cut off for a time, notes are late or lost, and limits end. A replica must not
+	// receive more than the rule allows in any window.
 	rapid.Check(t, func(rt *rapid.T) {
 		instances := rapid.IntRange(1, 12).Draw(rt, "instances")
 		lw := newLimitWorld(rapid.Uint64().Draw(rt, "seed"), instances, replicas(rapid.IntRange(1, 4).Draw(rt, "engines")), usualBudget)
@@ -165,33 +170,33 @@
 			}
 		}
 		for range rapid.IntRange(0, 5).Draw(rt, "faults") {
-			lw.pass(time.Duration(rapid.IntRange(0, 2500).Draw(rt, "calm")) * time.Millisecond)
+			lw.pass(time.Duration(rapid.IntRange(0, 2500).Draw(rt, "pause")) * time.Millisecond)
 			lw.disturb(rt)
 		}
 		lw.pass(lasts - lw.now.Sub(start))
 		for name, perS := range limits {
-			if over := lw.worst(name, perS); over > 0 {
+			if over := lw.maxExcess(name, perS); over > 0 {
 				rt.Fatalf("%s with a limit of %.2f got %d more than allowed", name, perS, over)
 			}
 		}
 	})
 }
 
-// disturb lets something happen to one instance, or lets a limit fall or end.
+// disturb restarts, freezes or cuts off an instance, or ends the limit of a replica.
 func (lw *limitWorld) disturb(rt *rapid.T) {
 	node := rapid.SampledFrom(lw.nodes).Draw(rt, "instance")
 	period := time.Duration(rapid.IntRange(100, 5000).Draw(rt, "period")) * time.Millisecond
 	switch rapid.SampledFrom([]string{"restart", "freeze", "cut", "end"}).Draw(rt, "fault") {
 	case "restart":
-		node.odd = lw.now
+		node.disturbedUntil = lw.now
 		lw.boot(node)
 	case "freeze":
 		node.frozen = lw.now.Add(period)
-		node.odd = node.frozen
+		node.disturbedUntil = node.frozen
 	case "cut":
 		node.cut = lw.now.Add(period)
-		node.odd = node.cut
+		node.disturbedUntil = node.cut
 	case "end":
-		lw.end(rapid.SampledFrom(lw.replicas).Draw(rt, "replica").Name)
+		lw.endLimit(rapid.SampledFrom(lw.replicas).Draw(rt, "replica").Name)
 	}
 }
--- a/internal/steer/limit_world_test.go
+++ b/internal/steer/limit_world_test.go
@@ -12,7 +12,7 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// limitWorld is several reducers before replicas that name rate limits. Notes take some time and may be lost.
+// limitWorld simulates several reducers that share replicas with rate limits. Notes are delayed and may be lost.
 type limitWorld struct {
 	now      time.Time
 	random   *rand.Rand
@@ -23,23 +23,31 @@
 	nodes    []*limitNode
 	budget   steer.Budget
 	replicas []steer.Replica
-	// limits are the rates that replicas name, by name; named is since when, over until when.
-	limits   map[string]float64
-	named    map[string]time.Time
-	over     map[string]time.Time
-	gets     []get
-	refusals []steer.Refusal
-	// parted tells that two instances do not hear each other, nil that all do.
-	parted func(one, two *limitNode) bool
-	// doubled is the part of the notes that come twice, slow that of those that come much later.
-	doubled, slow float64
-	// outcome draws how an attempt ends and after what time, nil lets all succeed; ended hears of each end of a request.
+	// limits holds the rate that each limited replica states, by name, in requests a second.
+	limits map[string]float64
+	// limitedSince holds when each replica first stated a limit.
+	limitedSince map[string]time.Time
+	// limitedUntil holds when each replica last ended its limit.
+	limitedUntil map[string]time.Time
+	received     []replicaRequest
+	refusals     []steer.Refusal
+	// partitioned reports whether notes between two instances are lost. If it is nil, none are.
+	partitioned func(a, b *limitNode) bool
+	// doubled is the share of notes that arrive twice.
+	doubled float64
+	// slow is the share of notes that arrive up to slowNote later.
+	slow float64
+	// outcome draws the end of an attempt and the time until then. If it is nil, all attempts succeed.
 	outcome func(eff steer.Send) (steer.AttemptEnded, time.Duration)
-	ended   func(fin steer.Finish)
-	nextID  steer.RequestID
-	// routes holds the route of each request, arrived and served count requests by it.
-	routes          map[steer.RequestID]string
-	arrived, served map[string]int
+	// ended is called at each end of a request.
+	ended  func(fin steer.Finish)
+	nextID steer.RequestID
+	// routes holds the route of each request.
+	routes map[steer.RequestID]string
+	// arrived counts requests by route.
+	arrived map[string]int
+	// served counts the requests that were not refused, by route.
+	served map[string]int
 }
 
 // limitNode is one instance.
@@ -48,14 +56,18 @@
 	domain string
 	st     *steer.State
 	run    int64
-	// frozen is until when it stands still, cut until when its notes are lost, odd when either or a restart last ended.
-	frozen, cut, odd time.Time
-	// told holds when it first passed on an answer of a replica that named its limit.
-	told map[string]time.Time
+	// frozen is the time until which the instance handles no events.
+	frozen time.Time
+	// cut is the time until which all notes from and to the instance are lost.
+	cut time.Time
+	// disturbedUntil is when the latest freeze, cut or restart ends.
+	disturbedUntil time.Time
+	// passedOnAt holds when the instance first passed on an answer of a replica that stated its limit.
+	passedOnAt map[string]time.Time
 }
 
-// get is one request that reached a replica.
-type get struct {
+// replicaRequest is one request that reached a replica.
+type replicaRequest struct {
 	at      time.Time
 	replica string
 	node    *limitNode
@@ -85,17 +97,17 @@
 	return last
 }
 
-// usualBudget is that of worlds whose requests seldom fail.
+// usualBudget is the retry budget of simulations whose requests seldom fail.
 var usualBudget = steer.Budget{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
 
 func newLimitWorld(seed uint64, instances int, list []steer.Replica, budget steer.Budget) *limitWorld {
 	lw := &limitWorld{
 		now: start, random: rand.New(rand.NewPCG(seed, 1)), delay: 2 * time.Millisecond,
-		budget: budget, replicas: list, limits: map[string]float64{}, named: map[string]time.Time{}, over: map[string]time.Time{},
+		budget: budget, replicas: list, limits: map[string]float64{}, limitedSince: map[string]time.Time{}, limitedUntil: map[string]time.Time{},
 		routes: map[steer.RequestID]string{}, arrived: map[string]int{}, served: map[string]int{},
 	}
 	for i := range instances {
-		lw.nodes = append(lw.nodes, &limitNode{name: fmt.Sprintf("instance-%03d", i), domain: domainOf(i, list), told: map[string]time.Time{}})
+		lw.nodes = append(lw.nodes, &limitNode{name: fmt.Sprintf("instance-%03d", i), domain: domainOf(i, list), passedOnAt: map[string]time.Time{}})
 	}
 	for _, node := range lw.nodes {
 		lw.boot(node)
@@ -105,12 +117,12 @@
 	return lw
 }
 
-// domainOf spreads instances over the failure domains of the replicas.
+// domainOf returns the failure domain of an instance. It distributes instances over the domains of the replicas in turn.
 func domainOf(number int, list []steer.Replica) string {
 	return list[number%len(list)].FailureDomain
 }
 
-// boot starts a run of the instance, which knows nothing of before.
+// boot starts a new run of the instance, without any state of earlier runs.
 func (lw *limitWorld) boot(node *limitNode) {
 	node.run++
 	node.st = steer.New(steer.Options{
@@ -135,12 +147,12 @@
 
 func (lw *limitWorld) every(node *limitNode, period time.Duration, ev steer.Event) {
 	lw.after(time.Duration(lw.random.Int64N(int64(period))), func() {
-		var again func()
-		again = func() {
+		var repeat func()
+		repeat = func() {
 			lw.reduce(node, ev)
-			lw.after(period, again)
+			lw.after(period, repeat)
 		}
-		again()
+		repeat()
 	})
 }
 
@@ -154,7 +166,7 @@
 	lw.now = until
 }
 
-// inRun does something after a while if the instance is still in the same run.
+// inRun calls do after the period if the instance is still in the same run.
 func (lw *limitWorld) inRun(node *limitNode, period time.Duration, do func()) {
 	st := node.st
 	lw.after(period, func() {
@@ -164,7 +176,7 @@
 	})
 }
 
-// reduce hands the event to the instance, or does once that goes on.
+// reduce passes the event to the instance. While the instance is frozen, the event is delayed until the end of the freeze.
 func (lw *limitWorld) reduce(node *limitNode, ev steer.Event) {
 	if lw.now.Before(node.frozen) {
 		lw.inRun(node, node.frozen.Sub(lw.now), func() { lw.reduce(node, ev) })
@@ -200,7 +212,7 @@
 		if node == from || eff.To != nil && !slices.Contains(eff.To, node.name) {
 			continue
 		}
-		if lw.parted != nil && lw.parted(from, node) || lw.now.Before(node.cut) || lw.now.Before(from.cut) || lw.random.Float64() < lw.loss {
+		if lw.partitioned != nil && lw.partitioned(from, node) || lw.now.Before(node.cut) || lw.now.Before(from.cut) || lw.random.Float64() < lw.loss {
 			continue
 		}
 		for range 1 + lw.chance(lw.doubled) {
@@ -210,10 +222,10 @@
 	}
 }
 
-// slowNote bounds how late a slow note is.
+// slowNote is the maximum extra delay of a slow note.
 const slowNote = 1500 * time.Millisecond
 
-// chance is 1 with the probability, else 0.
+// chance returns 1 with the given probability and 0 otherwise.
 func (lw *limitWorld) chance(probability float64) int {
 	if probability > 0 && lw.random.Float64() < probability {
 		return 1
@@ -221,17 +233,18 @@
 	return 0
 }
 
-// answerTime is how long a replica takes to begin its answer, lastTime until it ends.
 const (
+	// answerTime is the time from a send until its answer begins.
 	answerTime = 80 * time.Millisecond
-	lastTime   = 400 * time.Millisecond
+	// finishTime is the time from a send until its answer ends.
+	finishTime = 400 * time.Millisecond
 )
 
 func (lw *limitWorld) send(node *limitNode, eff steer.Send) {
 	sent := lw.now
-	lw.gets = append(lw.gets, get{lw.now, eff.Replica.Name, node})
+	lw.received = append(lw.received, replicaRequest{lw.now, eff.Replica.Name, node})
 	for _, helper := range eff.Helpers {
-		lw.gets = append(lw.gets, get{lw.now, helper.Name, node})
+		lw.received = append(lw.received, replicaRequest{lw.now, helper.Name, node})
 	}
 	at := func(period time.Duration, do func()) { lw.inRun(node, period, do) }
 	perS, limited := 0.0, false
@@ -246,35 +259,35 @@
 	}
 	at(answerTime, func() {
 		if perS, limited = lw.limits[eff.Replica.Name]; limited {
-			if _, ok := node.told[eff.Replica.Name]; !ok {
-				node.told[eff.Replica.Name] = lw.now
+			if _, ok := node.passedOnAt[eff.Replica.Name]; !ok {
+				node.passedOnAt[eff.Replica.Name] = lw.now
 			}
 		}
 		lw.reduce(node, steer.Answered{Replica: eff.Replica.Name, Born: eff.Replica.Born, Sent: sent, Limited: limited, PerS: perS})
 		lw.reduce(node, steer.Began{ID: eff.ID, Attempt: eff.Attempt})
 	})
-	at(lastTime, func() {
+	at(finishTime, func() {
 		lw.reduce(node, steer.AttemptEnded{ID: eff.ID, Attempt: eff.Attempt, Result: steer.ResultDone})
 	})
 }
 
-// name lets the replica name a limit from now on.
+// name makes the replica state a limit from now on.
 func (lw *limitWorld) name(replica string, perS float64) {
 	lw.limits[replica] = perS
-	if _, ok := lw.named[replica]; !ok {
-		lw.named[replica] = lw.now
+	if _, ok := lw.limitedSince[replica]; !ok {
+		lw.limitedSince[replica] = lw.now
 	}
 }
 
-// end lets the replica name a limit no longer.
-func (lw *limitWorld) end(replica string) {
+// endLimit makes the replica state no limit any more.
+func (lw *limitWorld) endLimit(replica string) {
 	if _, ok := lw.limits[replica]; ok {
 		delete(lw.limits, replica)
-		lw.over[replica] = lw.now
+		lw.limitedUntil[replica] = lw.now
 	}
 }
 
-// arrive brings a request to one of the instances.
+// arrive delivers a request to the instance.
 func (lw *limitWorld) arrive(node *limitNode, route *decl.Route, prompt int64) {
 	lw.nextID++
 	lw.routes[lw.nextID] = route.Name
@@ -289,7 +302,7 @@
 	lw.reduce(node, ev)
 }
 
-// load lets requests arrive at random instances at a rate.
+// load makes requests arrive at random instances, at random intervals with a mean rate of perS requests a second.
 func (lw *limitWorld) load(perS float64, period time.Duration, route *decl.Route, prompt int64) {
 	until := lw.now.Add(period)
 	var next func()
@@ -303,57 +316,62 @@
 	lw.after(0, next)
 }
 
-// The bound that the operators' rule sets.
+// Parameters of the operators' rule on how much a limited replica may receive.
 const (
+	// limitSettle is the time after a limit is first stated in which it need not be kept.
 	limitSettle = 3 * time.Second
+	// limitWindow is the length of the windows over which requests are summed.
 	limitWindow = 4 * time.Second
-	limitTold   = 500 * time.Millisecond
+	// passOnTime is the time after which an instance that has passed on an answer with the limit must keep the limit.
+	passOnTime = 500 * time.Millisecond
 )
 
-// worst is by how much the replica got more than the rule allows, in the window where that is most: from the settling time
-// after the limit was first named, summed over instances that had passed on an answer that named it. Windows end with a
-// request of such an instance: what was sent before the limit was named is in them.
-func (lw *limitWorld) worst(replica string, perS float64) int {
-	named, ok := lw.named[replica]
+// maxExcess returns the largest number of requests by which the replica received more than the rule allows in any window,
+// below zero if it always received less. The rule applies from limitSettle after the limit was first stated, to the sum over
+// the instances that must keep it. Each window ends with a request of such an instance and includes its requests from before
+// the limit was stated.
+func (lw *limitWorld) maxExcess(replica string, perS float64) int {
+	since, ok := lw.limitedSince[replica]
 	if !ok {
 		return 0
 	}
-	var got []get
-	for _, gt := range lw.gets {
+	var got []replicaRequest
+	for _, gt := range lw.received {
 		if gt.replica == replica {
 			got = append(got, gt)
 		}
 	}
 	allowed := int(1.5*perS*limitWindow.Seconds() + 5)
-	most := -allowed
+	excess := -allowed
 	for i, last := range got {
-		if over, ok := lw.over[replica]; last.at.Sub(named) < limitSettle || ok && !last.at.Before(over) {
+		if until, ok := lw.limitedUntil[replica]; last.at.Sub(since) < limitSettle || ok && !last.at.Before(until) {
 			continue
 		}
-		if !last.node.counts(replica, last.at) {
+		if !last.node.mustKeepLimit(replica, last.at) {
 			continue
 		}
 		count := 0
 		for _, gt := range got[:i+1] {
-			if last.at.Sub(gt.at) < limitWindow && gt.node.counts(replica, last.at) {
+			if last.at.Sub(gt.at) < limitWindow && gt.node.mustKeepLimit(replica, last.at) {
 				count++
 			}
 		}
-		most = max(most, count-allowed)
+		excess = max(excess, count-allowed)
 	}
-	return most
+	return excess
 }
 
-// counts tells that the instance had passed on an answer with the limit for long enough, and nothing had happened to it.
-func (node *limitNode) counts(replica string, at time.Time) bool {
-	told, ok := node.told[replica]
-	return ok && at.Sub(told) >= limitTold && !node.odd.After(at.Add(-limitWindow-limitSettle))
+// mustKeepLimit reports whether the instance passed on an answer with the limit at least passOnTime ago, and was not
+// disturbed within the last limitWindow plus limitSettle.
+func (node *limitNode) mustKeepLimit(replica string, at time.Time) bool {
+	passedOn, ok := node.passedOnAt[replica]
+	return ok && at.Sub(passedOn) >= passOnTime && !node.disturbedUntil.After(at.Add(-limitWindow-limitSettle))
 }
 
-// recent counts what the replica got in the period before now.
-func (lw *limitWorld) recent(replica string, period time.Duration) int {
+// receivedIn returns the number of requests that the replica received in the period before now.
+func (lw *limitWorld) receivedIn(replica string, period time.Duration) int {
 	count := 0
-	for _, gt := range lw.gets {
+	for _, gt := range lw.received {
 		if gt.replica == replica && lw.now.Sub(gt.at) < period {
 			count++
 		}
--- a/internal/steer/note.go
+++ b/internal/steer/note.go
@@ -1,72 +1,81 @@
 package steer
 
-// Note is what one instance tells the others of its own work, so that each knows the load of every engine without
-// asking the engines. A lost note is made good by the next one with Whole set.
+// Note is a message in which one instance reports its own work to the others, so that each knows the load of every engine
+// without polling the engines. The next note with Whole set repairs what a lost note would have reported.
 type Note struct {
-	// From names the instance, Run its run.
+	// From is the name of the sending instance, or in a report of an engine's own load surveyName and the replica's name.
 	From string `cbor:"1,keyasint,omitempty"`
-	Run  int64  `cbor:"2,keyasint,omitempty"`
-	// Up is for how many ms the run has lasted.
+	// Run distinguishes the runs of that instance.
+	Run int64 `cbor:"2,keyasint,omitempty"`
+	// Up is the uptime of the run in ms.
 	Up int64 `cbor:"3,keyasint,omitempty"`
-	// Whole tells that Kept names all the jobs of the instance.
-	Whole bool    `cbor:"4,keyasint,omitempty"`
-	Kept  []JobID `cbor:"5,keyasint,omitempty"`
-	Jobs  []Job   `cbor:"6,keyasint,omitempty"`
-	// Begun and Ended name jobs whose answer has begun and that are over.
+	// Whole reports that Kept lists all jobs of the instance, so that any other job of it has ended.
+	Whole bool `cbor:"4,keyasint,omitempty"`
+	// Kept lists the jobs of the instance that have not ended, if Whole is set.
+	Kept []JobID `cbor:"5,keyasint,omitempty"`
+	// Jobs describes new jobs and, in a summary, jobs that have not ended.
+	Jobs []Job `cbor:"6,keyasint,omitempty"`
+	// Begun lists jobs whose answer has begun.
 	Begun []JobID `cbor:"7,keyasint,omitempty"`
+	// Ended lists jobs that have ended.
 	Ended []JobID `cbor:"8,keyasint,omitempty"`
-	// BegunAge is how long ago in ms the first of the answers began.
+	// BegunAge is how long ago in ms the earliest of the answers in Begun began.
 	BegunAge int32 `cbor:"9,keyasint,omitempty"`
-	// Deaths counts the replicas that died while running a content.
+	// Deaths counts, for each request content, the replicas that died while running it.
 	Deaths []Death `cbor:"10,keyasint,omitempty"`
-	// Down names replicas that failed to take a connection or fell silent.
+	// Down lists replicas to avoid for a while, such as those that refused a connection or stopped answering.
 	Down []string `cbor:"11,keyasint,omitempty"`
-	// Paces are of engines that turned slow or are slow no longer.
+	// Paces reports engines that have become slow or are no longer slow.
 	Paces []Pace `cbor:"12,keyasint,omitempty"`
-	// Waiting counts the requests that wait for a replica.
+	// Waiting is the number of requests that wait for a replica at the instance.
 	Waiting int `cbor:"13,keyasint,omitempty"`
-	// Demand is what callers asked of the engines at the instance, on notes with Whole set.
+	// Demand is the work that callers requested of the engines through the instance. Only notes with Whole set carry it.
 	Demand Demand `cbor:"14,keyasint,omitempty"`
-	// Limits are rate limits that replicas named, Asks and Grants are about sends to such replicas.
+	// Limits reports the rate limits of replicas.
 	Limits []Limit `cbor:"15,keyasint,omitempty"`
-	Asks   []Ask   `cbor:"16,keyasint,omitempty"`
+	// Asks requests sends to rate-limited replicas.
+	Asks []Ask `cbor:"16,keyasint,omitempty"`
+	// Grants answers Asks.
 	Grants []Grant `cbor:"17,keyasint,omitempty"`
 }
 
-// JobID names one attempt of a request, or one claim, within one run of one instance.
+// JobID identifies one attempt of a request, or one claim, within one run of one instance.
 type JobID uint64
 
-// Job is a request at one or several replicas.
+// Job is one attempt or claim of a request at one or several replicas.
 type Job struct {
 	ID JobID `cbor:"1,keyasint,omitempty"`
-	// Replicas has the one that answers first, then those that help it read.
+	// Replicas lists the replica that answers, followed by its helpers, which read parts of the prompt.
 	Replicas []string `cbor:"2,keyasint,omitempty"`
-	// Tickets holds the tokens that the helpers set aside, in their order.
+	// Tickets holds the memory in tokens that each helper reserves, in the order of the helpers.
 	Tickets []int64 `cbor:"3,keyasint,omitempty"`
-	// Prompt and Answer are in tokens.
+	// Prompt is the length of the prompt in tokens.
 	Prompt int64 `cbor:"4,keyasint,omitempty"`
+	// Answer is the maximum length of the answer in tokens.
 	Answer int64 `cbor:"5,keyasint,omitempty"`
-	// Goal is the time left in ms when the note was made for the answer to begin, Gap the longest pause in ms that its caller
-	// was promised, Leaves the one after which it leaves.
-	Goal   int32 `cbor:"6,keyasint,omitempty"`
-	Gap    int32 `cbor:"7,keyasint,omitempty"`
+	// Goal is the time in ms that was left for the answer to begin when the note was made.
+	Goal int32 `cbor:"6,keyasint,omitempty"`
+	// Gap is the longest pause in ms that the caller was promised.
+	Gap int32 `cbor:"7,keyasint,omitempty"`
+	// Leaves is the length of a pause in ms after which the caller leaves.
 	Leaves int32 `cbor:"8,keyasint,omitempty"`
-	// Age is how long ago in ms it was sent.
-	Age   int32 `cbor:"9,keyasint,omitempty"`
-	Begun bool  `cbor:"10,keyasint,omitempty"`
-	// Value is what the answer is worth in time.
+	// Age is how long ago in ms the job was sent.
+	Age int32 `cbor:"9,keyasint,omitempty"`
+	// Begun reports that the answer has begun.
+	Begun bool `cbor:"10,keyasint,omitempty"`
+	// Value is the value of an answer that is in time.
 	Value float32 `cbor:"11,keyasint,omitempty"`
-	// Claim tells that it is not sent yet, and will not be if others claim the same slot with a better right.
+	// Claim reports that the job is not sent yet. It will be withdrawn if claims of higher rank take the slot.
 	Claim bool `cbor:"12,keyasint,omitempty"`
 }
 
-// Death is a content that replicas died of.
+// Death counts the replicas that died while running a request content.
 type Death struct {
 	Digest Digest `cbor:"1,keyasint,omitempty"`
 	Count  int    `cbor:"2,keyasint,omitempty"`
 }
 
-// Valid tells that a note from the network can be used.
+// Valid reports whether a note from the network can be used.
 func (nt *Note) Valid() bool {
 	for i := range nt.Jobs {
 		job := &nt.Jobs[i]
@@ -97,5 +106,5 @@
 	return nt.From != ""
 }
 
-// maxTokens bounds what a note may claim, far above the longest prompt.
+// maxTokens is the highest number of tokens accepted in a note, far above the longest prompt.
 const maxTokens = 1 << 30
--- a/internal/steer/peer.go
+++ b/internal/steer/peer.go
@@ -6,26 +6,32 @@
 	"time"
 )
 
-// peer is another instance's work as it told of it.
+// peer is another instance and its work, as its notes reported it.
 type peer struct {
-	run   int64
-	up    int64
-	heard time.Time
-	jobs  map[JobID][]*replica
+	run int64
+	// up is the uptime of the run in ms, as of the newest note.
+	up int64
+	// heardAt is when the newest note arrived.
+	heardAt time.Time
+	// jobs holds the known replicas of each job that has not ended.
+	jobs map[JobID][]*replica
+	// ended holds when the end of each recent job was reported.
 	ended map[JobID]time.Time
-	// waiting counts the requests that wait there for a replica.
+	// waiting is the number of requests that wait for a replica at that instance.
 	waiting int
-	// demand is what callers asked of the engines there.
+	// demand is the work that callers requested of the engines through that instance.
 	demand Demand
 }
 
 const (
-	// peerSilence is how long the work of a silent instance counts: its engines drop it when its connections end.
+	// peerSilence is how long the work of an instance still counts after its last note. Engines drop that work when its
+	// connections end.
 	peerSilence = 4 * time.Second
-	// endedMemory is how long an end is remembered against a start that arrives after it.
-	endedMemory = 3 * time.Second
+	// endedRetention is how long an end is kept, so that a start which arrives after it does not book the job again.
+	endedRetention = 3 * time.Second
 )
 
+// note returns the note with the fields set that describe this instance.
 func (st *State) note(nt Note) Note {
 	nt.From = st.Options.Name
 	nt.Run = st.Options.Run
@@ -34,7 +40,7 @@
 	return nt
 }
 
-// up is for how many ms this run has lasted.
+// up returns the uptime of this run in ms.
 func (st *State) up() int64 {
 	if st.startedAt.IsZero() {
 		return 0
@@ -42,15 +48,17 @@
 	return st.now.Sub(st.startedAt).Milliseconds()
 }
 
-// idleSummaries is every which summary an instance sends that has nothing under way: often enough not to count as silent
-// with one of them lost.
-const idleSummaries = 2
+// idleSummaryInterval is the interval, in summaries, at which an instance without jobs sends one. It is short enough that
+// the loss of one summary does not make the instance count as silent.
+const idleSummaryInterval = 2
 
-// summaryJobs is how many jobs a note holds at the most, which a datagram must hold: a job takes some 100 bytes.
-const summaryJobs = 50
+// maxSummaryJobs is the maximum number of jobs, or of limits, in a summary note. A note must fit into a datagram, and a job
+// takes some 100 bytes.
+const maxSummaryJobs = 50
 
-// summarize tells all of this instance's jobs again, which makes good what was lost. Those that use the same replicas hear
-// of the jobs there, those that share its engines that it lives.
+// summarize reports all jobs of this instance again, which repairs what lost notes would have reported. The instances that
+// use the replicas of a job receive the job. All that share this instance's engines receive a note even without jobs, as a
+// heartbeat.
 func (st *State) summarize() {
 	jobs := map[subset][]Job{}
 	for _, svc := range st.services {
@@ -75,25 +83,25 @@
 	st.sumDemand()
 	st.summarizeLimits()
 	st.summaries++
-	if len(kept) == 0 && st.summaries%idleSummaries != 0 {
+	if len(kept) == 0 && st.summaries%idleSummaryInterval != 0 {
 		return
 	}
 	for _, sub := range inOrder(jobs) {
-		st.summarizeTo(sub, kept, jobs[sub])
+		st.sendSummary(sub, kept, jobs[sub])
 	}
 }
 
-// summarizeTo tells the users of the subset of the jobs, in as many notes as they take.
-func (st *State) summarizeTo(sub subset, kept []JobID, jobs []Job) {
+// sendSummary sends the jobs to the users of the subset, split into as many notes as needed.
+func (st *State) sendSummary(sub subset, kept []JobID, jobs []Job) {
 	to := st.users(sub)
-	first := min(len(jobs), summaryJobs)
+	first := min(len(jobs), maxSummaryJobs)
 	st.emit(Tell{Note: st.note(Note{Whole: true, Kept: kept, Jobs: jobs[:first], Demand: st.demand.asked(st.now)}), To: to})
-	for part := range slices.Chunk(jobs[first:], summaryJobs) {
+	for part := range slices.Chunk(jobs[first:], maxSummaryJobs) {
 		st.emit(Tell{Note: st.note(Note{Jobs: part}), To: to})
 	}
 }
 
-// booked is the request as the job that it is booked as.
+// booked returns the job as which the request is booked, with the time left for its answer as of now.
 func (req *request) booked(now time.Time) Job {
 	job := Job{
 		ID: req.job, Prompt: req.Prompt, Answer: req.Answer, Goal: millis(req.goal.Sub(now)), Gap: millis(req.gap), Leaves: millis(req.Patience.Sub(req.at)),
@@ -105,39 +113,40 @@
 	return job
 }
 
+// heard applies a note of another instance.
 func (st *State) heard(nt Note) {
 	if nt.From == st.Options.Name || st.needless(&nt) {
 		return
 	}
 	pr := st.peerOf(nt)
-	pr.heard = st.now
+	pr.heardAt = st.now
 	pr.up = nt.Up
 	pr.waiting = max(0, nt.Waiting)
 	if nt.Whole {
-		st.keepOnly(nt, pr)
+		st.endUnkeptJobs(nt, pr)
 		pr.demand = Demand{}
 		if nt.Demand.valid() {
 			pr.demand = nt.Demand
 		}
 	}
 	for i := range nt.Jobs {
-		st.peerStarts(nt.From, pr, &nt.Jobs[i])
+		st.startPeerJob(nt.From, pr, &nt.Jobs[i])
 	}
 	for _, id := range nt.Begun {
 		st.beginJob(jobKey{nt.From, id}, pr.jobs[id], nt.BegunAge <= millis(liveBegin))
 	}
 	for _, id := range nt.Ended {
-		st.peerEnds(nt.From, pr, id)
+		st.endPeerJob(nt.From, pr, id)
 		pr.ended[id] = st.now
 	}
 	for _, death := range nt.Deaths {
 		st.rememberDeath(death.Digest, death.Count)
 	}
 	for i := range nt.Limits {
-		st.heardLimit(&nt.Limits[i])
+		st.receiveLimit(&nt.Limits[i])
 	}
-	st.asked(nt.From, nt.Asks)
-	st.granted(nt.Grants)
+	st.receiveAsks(nt.From, nt.Asks)
+	st.receiveGrants(nt.Grants)
 	for _, pace := range nt.Paces {
 		st.takePace(pace)
 	}
@@ -148,8 +157,8 @@
 	}
 }
 
-// peerOf returns the instance's entry for the run of the note. Runs are told apart only: a clock that was set back gives
-// a later run the lower number.
+// peerOf returns the instance's entry for the run of the note. Runs are only compared for equality, since a clock that was
+// set back gives a later run the lower number.
 func (st *State) peerOf(nt Note) *peer {
 	pr, ok := st.peers[nt.From]
 	if ok && pr.run != nt.Run {
@@ -163,21 +172,24 @@
 	return pr
 }
 
-func (st *State) keepOnly(nt Note, pr *peer) {
+// endUnkeptJobs ends the jobs of the instance that its summary does not list, and drops expired ends.
+func (st *State) endUnkeptJobs(nt Note, pr *peer) {
 	for id := range pr.jobs {
 		if !slices.Contains(nt.Kept, id) {
-			st.peerEnds(nt.From, pr, id)
+			st.endPeerJob(nt.From, pr, id)
 		}
 	}
 	for id, at := range pr.ended {
-		if st.now.Sub(at) > endedMemory {
+		if st.now.Sub(at) > endedRetention {
 			delete(pr.ended, id)
 		}
 	}
 }
 
-func (st *State) peerStarts(from string, pr *peer, job *Job) {
-	if _, over := pr.ended[job.ID]; over {
+// startPeerJob books a job of another instance. A job that is booked already is updated, or booked anew if its first replica
+// is another one.
+func (st *State) startPeerJob(from string, pr *peer, job *Job) {
+	if _, ended := pr.ended[job.ID]; ended {
 		return
 	}
 	key := jobKey{from, job.ID}
@@ -193,34 +205,36 @@
 	pr.jobs[job.ID] = st.startJob(key, job)
 }
 
-func (st *State) peerEnds(from string, pr *peer, id JobID) {
+func (st *State) endPeerJob(from string, pr *peer, id JobID) {
 	if reps, ok := pr.jobs[id]; ok {
 		st.endJob(jobKey{from, id}, reps)
 		delete(pr.jobs, id)
 	}
 }
 
+// dropPeer ends all jobs of the instance and forgets it.
 func (st *State) dropPeer(from string, pr *peer) {
 	for id := range pr.jobs {
-		st.peerEnds(from, pr, id)
+		st.endPeerJob(from, pr, id)
 	}
 	delete(st.peers, from)
 }
 
+// forgetPeers drops the instances from which no note arrived for peerSilence.
 func (st *State) forgetPeers() {
 	for from, pr := range st.peers {
-		if st.now.Sub(pr.heard) > peerSilence {
+		if st.now.Sub(pr.heardAt) > peerSilence {
 			st.dropPeer(from, pr)
 		}
 	}
 }
 
-// startJob books a job at its replicas and returns those that are known.
+// startJob books a job at its replicas and returns those of them that are known here.
 func (st *State) startJob(key jobKey, job *Job) []*replica {
 	reps := make([]*replica, 0, len(job.Replicas))
-	first := job.Prompt + job.Answer
+	firstTokens := job.Prompt + job.Answer
 	for _, tokens := range job.Tickets {
-		first -= tokens
+		firstTokens -= tokens
 	}
 	for i, name := range job.Replicas {
 		rep, ok := st.replicas[name]
@@ -233,7 +247,7 @@
 			value: float64(job.Value), sent: st.now, claim: job.Claim, alone: len(job.Replicas) == 1,
 		}
 		if key.from != "" {
-			st.countJob(rep, key, job, i)
+			st.countPeerSend(rep, key, job, i)
 		}
 		eng := st.serviceOf(rep.Service).engine
 		if eng != nil {
@@ -246,7 +260,7 @@
 			}
 			switch {
 			case wk.first:
-				wk.tokens = first
+				wk.tokens = firstTokens
 			case i <= len(job.Tickets):
 				wk.tokens = job.Tickets[i-1]
 			}
@@ -257,7 +271,7 @@
 	return reps
 }
 
-// beginJob notes that a job's prompt is read; live tells that its answer begins just now.
+// beginJob records that the prompt of a job has been read. live reports that its answer begins just now.
 func (st *State) beginJob(key jobKey, reps []*replica, live bool) {
 	for _, rep := range reps {
 		rep.begin(st.serviceOf(rep.Service).engine, st.now, key, live)
--- a/internal/steer/subset.go
+++ b/internal/steer/subset.go
@@ -9,26 +9,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Subsets. With hundreds of instances before hundreds of replicas an instance neither can weigh each replica for each
-// request, nor tell every other instance of each request that it sends. So a large service's replicas are split into
-// subsets, each instance uses one of them and tells only the instances that use it too: the work of a decision and the
-// messages for it stay the same however large the fleet is. Where the failure domains are large enough a subset lies within
-// one of them, since what passes between failure domains is slower and paid for. All instances that know the same replicas
-// and the same instances split alike; while they do not, a load goes unheard for a moment.
+// Subsets of replicas. With hundreds of instances and hundreds of replicas, an instance can neither evaluate every replica
+// for each request nor notify every other instance of each request that it sends. The replicas of a large service are
+// therefore split into subsets. Each instance uses one of them and sends its notes only to the other instances that use it,
+// so that the cost of a decision and the number of messages for it do not grow with the fleet. Where the failure domains are
+// large enough, a subset lies within one of them, since traffic between failure domains is slower and charged for. All
+// instances that know the same replicas and the same instances compute the same split. While their knowledge differs, some
+// load goes unreported for a moment.
 
 const (
-	// wholeReplicas is how many replicas of a service are weighed by all instances as one set.
-	wholeReplicas = 64
-	// subsetSize is how many replicas a subset has at the least: as many as may read one prompt together.
-	subsetSize = 16
-	// subsetUsers is how many instances use a subset on average at the least. With fewer, some subset would have no user,
-	// and its replicas no work.
-	subsetUsers = 8
-	// leastUsable is how many replicas of its subset an instance must be able to use; with fewer it weighs all.
-	leastUsable = subsetSize / 2
-	// toldOfPlain is how many instances may hear of each call to a plain service. Beyond that those of the own failure
-	// domain hear of it, whose replicas are used first.
-	toldOfPlain = 128
+	// minSplitReplicas is the number of replicas from which a service is split. All instances use all replicas of a smaller
+	// one.
+	minSplitReplicas = 64
+	// minSubsetReplicas is the minimum average number of replicas in a subset: as many as may read one prompt together.
+	minSubsetReplicas = 16
+	// minSubsetInstances is the minimum average number of instances that use a subset. With fewer, some subset could be left
+	// without instances and its replicas without work.
+	minSubsetInstances = 8
+	// minUsableReplicas is how many replicas of its subset must be usable. With fewer, an instance considers all replicas of
+	// the service.
+	minUsableReplicas = minSubsetReplicas / 2
+	// maxPlainAudience is the largest fleet, in instances, in which all receive a note of each call to a plain service. In a
+	// larger one only those of the same failure domain do, whose replicas are preferred.
+	maxPlainAudience = 128
 )
 
 // Instance is another instance of the fleet.
@@ -37,33 +40,38 @@
 	FailureDomain string
 }
 
-// subset names some of a service's replicas and the instances that use them. The zero value stands for all of both.
+// subset identifies some of a service's replicas and the instances that use them. The zero value stands for all replicas and
+// all instances.
 type subset struct {
-	// domain is the failure domain in which they all are, empty where failure domains are too small to be told apart.
+	// domain is the failure domain of the subset, or empty if failure domains are too small to be split separately.
 	domain string
-	// part counts from 0 within the failure domain, of so many parts.
-	part, parts int
+	// part is the index of the subset within the failure domain, from 0.
+	part int
+	// parts is the number of subsets of the failure domain.
+	parts int
 }
 
-// inOrder lists the subsets that are keys, in an order of their own: what an instance does follows from its events alone.
+// inOrder returns the keys in a fixed order, so that the effects of an instance depend on its events alone and not on the
+// order of map iteration.
 func inOrder[Value any](bySubset map[subset]Value) []subset {
-	return slices.SortedFunc(maps.Keys(bySubset), func(one, two subset) int {
-		return cmp.Or(cmp.Compare(one.domain, two.domain), cmp.Compare(one.part, two.part), cmp.Compare(one.parts, two.parts))
+	return slices.SortedFunc(maps.Keys(bySubset), func(a, b subset) int {
+		return cmp.Or(cmp.Compare(a.domain, b.domain), cmp.Compare(a.part, b.part), cmp.Compare(a.parts, b.parts))
 	})
 }
 
-// layout is how a service's replicas and the instances are split. The zero value is a whole that is not split.
+// layout is the split of a service's replicas and of the instances into subsets. The zero value is unsplit.
 type layout struct {
 	byDomain bool
-	// parts is the number of subsets of each failure domain, under the empty name where they are not told apart.
+	// parts is the number of subsets of each failure domain, or under the empty name that of the service if byDomain is
+	// false.
 	parts map[string]int
 }
 
-func (lay *layout) whole() bool { return len(lay.parts) == 0 }
+func (lay *layout) undivided() bool { return len(lay.parts) == 0 }
 
-// subsetFor returns the subset of what is in the failure domain and has the rank among so many parts.
+// subsetFor returns the subset of a replica or instance in the failure domain. rank returns its index for a number of parts.
 func (lay *layout) subsetFor(domain string, rank func(parts int) int) subset {
-	if lay.whole() {
+	if lay.undivided() {
 		return subset{}
 	}
 	if !lay.byDomain {
@@ -73,12 +81,13 @@
 	return subset{domain: domain, part: rank(parts), parts: parts}
 }
 
+// ofReplica returns the subset that contains the replica, by a hash of its name.
 func (lay *layout) ofReplica(rep *replica) subset {
 	return lay.subsetFor(rep.FailureDomain, func(parts int) int { return int(xxhash.Sum64String(rep.Name) % uint64(parts)) })
 }
 
-// ofInstance returns the subset that an instance uses, the one of the highest hash of both names: few instances move when
-// the number of subsets changes.
+// ofInstance returns the subset that an instance uses. It is chosen by rendezvous hashing of both names, so that few
+// instances change their subset when the number of subsets changes.
 func (lay *layout) ofInstance(inst Instance) subset {
 	return lay.subsetFor(inst.FailureDomain, func(parts int) int {
 		best, highest := 0, uint64(0)
@@ -91,7 +100,7 @@
 	})
 }
 
-// layoutOf splits the service's replicas, the same way until replicas or instances come or go.
+// layoutOf returns the split of the service. It is cached until the replicas, the instances or the configuration change.
 func (st *State) layoutOf(svc *service) *layout {
 	if svc.layout == nil {
 		svc.layout = st.split(svc)
@@ -100,7 +109,7 @@
 }
 
 func (st *State) split(svc *service) *layout {
-	if svc.engine == nil || len(svc.replicas) < wholeReplicas {
+	if svc.engine == nil || len(svc.replicas) < minSplitReplicas {
 		return &layout{}
 	}
 	replicas := map[string]int{}
@@ -108,28 +117,28 @@
 		replicas[rep.FailureDomain]++
 	}
 	instances := st.instancesByDomain()
-	if domainsSuffice(replicas, instances, len(svc.replicas)) {
+	if canSplitByDomain(replicas, instances, len(svc.replicas)) {
 		lay := &layout{byDomain: true, parts: map[string]int{}}
 		for domain, count := range replicas {
-			lay.parts[domain] = partsOf(count, instances[domain])
+			lay.parts[domain] = partCount(count, instances[domain])
 		}
 		return lay
 	}
-	parts := partsOf(len(svc.replicas), st.live)
+	parts := partCount(len(svc.replicas), st.live)
 	if parts == 1 {
 		return &layout{}
 	}
 	return &layout{parts: map[string]int{"": parts}}
 }
 
-// domainsSuffice tells that each failure domain has enough replicas and instances for subsets of its own, so that none
-// of its replicas is left without users and none of its instances without replicas.
-func domainsSuffice(replicas, instances map[string]int, total int) bool {
-	if len(replicas) < 2 || total < subsetSize*len(replicas) {
+// canSplitByDomain reports whether each failure domain has enough replicas and instances for subsets of its own. Otherwise
+// some of its replicas could be left without users or some of its instances without replicas.
+func canSplitByDomain(replicas, instances map[string]int, total int) bool {
+	if len(replicas) < 2 || total < minSubsetReplicas*len(replicas) {
 		return false
 	}
 	for domain, count := range replicas {
-		if count < leastUsable || instances[domain] < subsetUsers {
+		if count < minUsableReplicas || instances[domain] < minSubsetInstances {
 			return false
 		}
 	}
@@ -141,17 +150,17 @@
 	return true
 }
 
-// partsOf is the number of subsets of so many replicas and instances, a power of two, so that a subset is split in halves
-// when they grow.
-func partsOf(replicas, instances int) int {
+// partCount returns the number of subsets for the given numbers of replicas and instances. It is a power of two, so that
+// growth splits a subset in halves.
+func partCount(replicas, instances int) int {
 	parts := 1
-	for parts*2*subsetSize <= replicas && parts*2*subsetUsers <= instances {
+	for parts*2*minSubsetReplicas <= replicas && parts*2*minSubsetInstances <= instances {
 		parts *= 2
 	}
 	return parts
 }
 
-// instancesByDomain counts the instances of each failure domain, this one included.
+// instancesByDomain returns the number of instances in each failure domain, including this one.
 func (st *State) instancesByDomain() map[string]int {
 	counts := map[string]int{st.Options.FailureDomain: 1}
 	for _, inst := range st.others {
@@ -164,14 +173,14 @@
 	return Instance{Name: st.Options.Name, FailureDomain: st.Options.FailureDomain}
 }
 
-// ownSubset is the subset of the service that this instance uses.
+// ownSubset returns the subset of the service that this instance uses.
 func (st *State) ownSubset(svc *service) subset { return st.layoutOf(svc).ofInstance(st.self()) }
 
-// candidates are the replicas that this instance weighs. If few of its subset can be used, as after the loss of a failure
-// domain's replicas, it weighs all.
+// candidates returns the replicas that this instance considers for a request. If too few replicas of its subset are usable,
+// as after the loss of a failure domain's replicas, these are all replicas of the service.
 func (st *State) candidates(svc *service) []*replica {
 	lay := st.layoutOf(svc)
-	if lay.whole() {
+	if lay.undivided() {
 		return svc.replicas
 	}
 	if svc.candidates == nil {
@@ -189,13 +198,13 @@
 			usable++
 		}
 	}
-	if usable < leastUsable {
+	if usable < minUsableReplicas {
 		return svc.replicas
 	}
 	return svc.candidates
 }
 
-// audience returns the subset whose users must hear of work at the replica.
+// audience returns the subset whose users must receive notes about work at the replica.
 func (st *State) audience(rep *replica) subset {
 	svc := st.serviceOf(rep.Service)
 	if svc.engine == nil && st.partlyTold() {
@@ -204,11 +213,11 @@
 	return st.layoutOf(svc).ofReplica(rep)
 }
 
-// partlyTold tells that calls of plain services are told within failure domains only.
-func (st *State) partlyTold() bool { return st.live > toldOfPlain }
+// partlyTold reports whether notes about calls to plain services are sent only within the failure domain.
+func (st *State) partlyTold() bool { return st.live > maxPlainAudience }
 
-// users returns the names of the other instances that use the subset, nil for all of them. They are kept until the
-// instances change.
+// users returns the names of the other instances that use the subset, or nil if all of them do. The names are cached until
+// the instances change.
 func (st *State) users(sub subset) []string {
 	if sub == (subset{}) {
 		return nil
@@ -227,7 +236,7 @@
 	return names
 }
 
-// othersUsing returns the names of the other instances that use the subset, of all of them for the whole.
+// othersUsing returns the names of the other instances that use the subset. For the zero subset these are all of them.
 func (st *State) othersUsing(sub subset) []string {
 	if names := st.users(sub); names != nil {
 		return names
@@ -235,9 +244,9 @@
 	return st.names
 }
 
-// peered takes the other instances.
+// peered replaces the list of the other instances.
 func (st *State) peered(ev Peered) {
-	st.others = slices.SortedFunc(slices.Values(ev.Instances), func(one, two Instance) int { return cmp.Compare(one.Name, two.Name) })
+	st.others = slices.SortedFunc(slices.Values(ev.Instances), func(a, b Instance) int { return cmp.Compare(a.Name, b.Name) })
 	st.names = st.names[:0]
 	for _, inst := range st.others {
 		st.names = append(st.names, inst.Name)
@@ -249,24 +258,24 @@
 	}
 }
 
-// relayout lets the service be split anew.
+// relayout discards the cached split of the service.
 func (svc *service) relayout() {
 	svc.layout = nil
 	svc.candidates = nil
 }
 
-// surveyor tells that this instance should ask the replica for its load: of those that use its subset and are heard, it is
-// the first by name.
+// surveyor reports whether this instance should ask the replica for its load. Of the instances that use the replica's
+// subset, the first by name asks; instances from which no note has arrived are ignored.
 func (st *State) surveyor(svc *service, rep *replica) bool {
 	sub := st.layoutOf(svc).ofReplica(rep)
 	if sub == (subset{}) {
-		return !slices.ContainsFunc(slices.Collect(maps.Keys(st.peers)), st.heardBefore)
+		return !slices.ContainsFunc(slices.Collect(maps.Keys(st.peers)), st.peerPrecedes)
 	}
-	return sub == st.ownSubset(svc) && !slices.ContainsFunc(st.users(sub), st.heardBefore)
+	return sub == st.ownSubset(svc) && !slices.ContainsFunc(st.users(sub), st.peerPrecedes)
 }
 
-// heardBefore tells that the instance was heard and comes first by name.
-func (st *State) heardBefore(name string) bool {
+// peerPrecedes reports whether notes arrive from the instance and its name sorts before this instance's name.
+func (st *State) peerPrecedes(name string) bool {
 	_, heard := st.peers[name]
 	return heard && name < st.Options.Name
 }
--- a/internal/steer/subset_test.go
+++ b/internal/steer/subset_test.go
@@ -13,12 +13,12 @@
 
 var fleetStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet is so many instances and engines, dealt over failure domains in turn.
+// fleet describes a number of instances and engines, distributed over failure domains in turn.
 type fleet struct{ instances, engines, domains int }
 
 func (fl fleet) domainOf(index int) string { return fmt.Sprint("domain-", index%max(1, fl.domains)) }
 
-// instance returns the instance of the number, which knows all others and all engines.
+// instance returns the state of the instance with the index, which knows all other instances and all engines.
 func (fl fleet) instance(index int) *State {
 	st := New(Options{Name: fmt.Sprint("instance-", index), FailureDomain: fl.domainOf(index), Seed: 1})
 	st.Reduce(fleetStart, Configured{Routing: &decl.Routing{Version: 1, Services: map[string]decl.Pool{"lyric": {Engine: &decl.Engine{
@@ -39,21 +39,21 @@
 	return st
 }
 
-func TestWorkOfADecisionIsBounded(t *testing.T) {
-	// The fleet grows, and with it what an instance weighs and whom it tells. Both must stay at what a subset holds, or the
-	// messages of all take the time of all.
+func TestSubsetsBoundCandidatesAndAudience(t *testing.T) {
+	// The replicas that an instance considers and the instances that it notifies must not grow with the fleet beyond a
+	// subset. Otherwise the instances would spend their time on each other's notes.
 	cases := map[string]struct {
 		fleet
-		weighed, told int
+		candidates, audience int
 	}{
-		"a small fleet is not split": {fleet{6, 14, 3}, 14, 5},
-		"sixty instances":            {fleet{60, 45, 3}, 45, 59},
-		"two hundred instances":      {fleet{195, 112, 5}, 23, 38},
-		"without failure domains":    {fleet{195, 112, 1}, 40, 70},
-		"three hundred instances":    {fleet{300, 2250, 5}, 140, 20},
-		"few before many":            {fleet{9, 2000, 3}, 2000, 8},
-		"one model of the aim":       {fleet{430, 300, 7}, 31, 45},
-		"a single large pool":        {fleet{430, 12_000, 7}, 500, 25},
+		"small fleet, not split":        {fleet{6, 14, 3}, 14, 5},
+		"60 instances":                  {fleet{60, 45, 3}, 45, 59},
+		"195 instances":                 {fleet{195, 112, 5}, 23, 38},
+		"one failure domain":            {fleet{195, 112, 1}, 40, 70},
+		"300 instances":                 {fleet{300, 2250, 5}, 140, 20},
+		"few instances, many engines":   {fleet{9, 2000, 3}, 2000, 8},
+		"one model of the target fleet": {fleet{430, 300, 7}, 31, 45},
+		"one pool of 12000 engines":     {fleet{430, 12_000, 7}, 500, 25},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -64,19 +64,19 @@
 			if names := st.users(st.ownSubset(svc)); names != nil {
 				told = len(names)
 			}
-			assert.Assert(t, weighed <= tc.weighed && weighed >= min(tc.engines, subsetSize/2), weighed)
-			assert.Assert(t, told <= tc.told, told)
+			assert.Assert(t, weighed <= tc.candidates && weighed >= min(tc.engines, minSubsetReplicas/2), weighed)
+			assert.Assert(t, told <= tc.audience, told)
 		})
 	}
 }
 
-func TestWhoUsesAReplicaHearsOfIt(t *testing.T) {
-	// Two instances use the same engine. Each must be among those whom the other tells, or both take its slots for free. And
-	// no engine may be left without users.
+func TestUsersOfReplicaHearOfEachOther(t *testing.T) {
+	// Two instances use the same engine. Each must receive the other's notes about it, or both would count its slots as
+	// free. No engine may be left without users.
 	cases := map[string]fleet{
-		"by failure domains":                {60, 1200, 3},
-		"without failure domains":           {60, 1200, 1},
-		"more failure domains than suffice": {60, 200, 20},
+		"split by failure domain":            {60, 1200, 3},
+		"one failure domain":                 {60, 1200, 1},
+		"failure domains too small to split": {60, 200, 20},
 	}
 	for name, fl := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -100,9 +100,9 @@
 	}
 }
 
-func TestSubsetsLieWithinAFailureDomain(t *testing.T) {
-	// What passes between failure domains is paid for, the messages on load most of all. Where each domain has enough of
-	// its own, its instances use and tell nobody else.
+func TestSubsetsStayWithinFailureDomain(t *testing.T) {
+	// Traffic between failure domains is charged for, and notes on load are the largest part of it. Where each domain has
+	// enough replicas and instances, its instances must use and notify only those of their own domain.
 	st := fleet{195, 112, 5}.instance(7)
 	for _, rep := range st.candidates(st.services["lyric"]) {
 		assert.Equal(t, rep.FailureDomain, st.Options.FailureDomain)
@@ -113,9 +113,9 @@
 	}
 }
 
-func TestLossOfASubsetIsNoLossOfService(t *testing.T) {
-	// Nearly all replicas of an instance's subset fail, as with a failure domain. It serves with others, and those that use
-	// these hear of it.
+func TestLostSubsetFallsBackToAllReplicas(t *testing.T) {
+	// Nearly all replicas of an instance's subset fail, as in the loss of a failure domain. The instance must use replicas
+	// of other subsets, and the users of these must receive its notes.
 	st := fleet{300, 2250, 3}.instance(0)
 	svc := st.services["lyric"]
 	for _, rep := range st.candidates(svc) {
@@ -124,7 +124,7 @@
 	assert.Equal(t, len(st.candidates(svc)), 2250)
 	far := st.replicas["engine-1"]
 	told := st.users(st.audience(far))
-	assert.Assert(t, len(told) >= subsetUsers)
+	assert.Assert(t, len(told) >= minSubsetInstances)
 	for _, name := range told {
 		at := slices.IndexFunc(st.others, func(inst Instance) bool { return inst.Name == name })
 		assert.Equal(t, st.others[at].FailureDomain, far.FailureDomain)
@@ -133,32 +133,33 @@
 	assert.Assert(t, len(st.candidates(svc)) < 300)
 }
 
-func TestAllJobsAreToldHoweverMany(t *testing.T) {
-	// An instance has more requests under way than one datagram holds. One that was not told again would count as over at
-	// the others, who would give its slots away.
-	one, two := fleet{2, 20, 1}.instance(0), fleet{2, 20, 1}.instance(1)
+func TestSummaryCoversAllJobs(t *testing.T) {
+	// An instance has more open requests than one datagram holds. The others would treat a request that a summary leaves out
+	// as ended, and would use its slots for other requests.
+	sender, receiver := fleet{2, 20, 1}.instance(0), fleet{2, 20, 1}.instance(1)
 	route := decl.Route{Name: "short", Shares: []decl.Share{{Service: "lyric", Weight: 1}}, Stream: true, Timeout: decl.Duration(10 * time.Second), Goal: decl.Duration(time.Second), Attempts: 1}
 	for id := range 130 {
-		one.Reduce(fleetStart, Arrived{ID: RequestID(id), Route: &route, Prompt: 100, Answer: 10, Deadline: fleetStart.Add(10 * time.Second), Patience: fleetStart.Add(10 * time.Second)})
+		sender.Reduce(fleetStart, Arrived{ID: RequestID(id), Route: &route, Prompt: 100, Answer: 10, Deadline: fleetStart.Add(10 * time.Second), Patience: fleetStart.Add(10 * time.Second)})
 	}
 	for range 2 {
-		for _, eff := range slices.Clone(one.Reduce(fleetStart, Summarized{})) {
+		for _, eff := range slices.Clone(sender.Reduce(fleetStart, Summarized{})) {
 			if eff, ok := eff.(Tell); ok {
-				assert.Assert(t, len(eff.Note.Jobs) <= summaryJobs)
-				two.Reduce(fleetStart, Heard{Note: eff.Note})
+				assert.Assert(t, len(eff.Note.Jobs) <= maxSummaryJobs)
+				receiver.Reduce(fleetStart, Heard{Note: eff.Note})
 			}
 		}
-		assert.Equal(t, len(two.peers["instance-0"].jobs), 130)
+		assert.Equal(t, len(receiver.peers["instance-0"].jobs), 130)
 	}
-	one.callerGone(CallerGone{ID: 5})
-	one.Reduce(fleetStart, AttemptEnded{ID: 5, Attempt: 1, Result: ResultCancelled})
-	two.Reduce(fleetStart, Heard{Note: one.Reduce(fleetStart, Summarized{})[0].(Tell).Note})
-	assert.Equal(t, len(two.peers["instance-0"].jobs), 129)
+	sender.callerGone(CallerGone{ID: 5})
+	sender.Reduce(fleetStart, AttemptEnded{ID: 5, Attempt: 1, Result: ResultCancelled})
+	receiver.Reduce(fleetStart, Heard{Note: sender.Reduce(fleetStart, Summarized{})[0].(Tell).Note})
+	assert.Equal(t, len(receiver.peers["instance-0"].jobs), 129)
 }
 
-func TestRefusalOfWhatIsPartlyKnownSaysNothing(t *testing.T) {
-	// In a large fleet calls of a plain service are told within failure domains only. A replica that is full refuses, and looks
-	// as if it had room. Avoided for that, one after the other would be out of use, just when there is most to do.
+func TestRefusalIsIgnoredWhereLoadIsPartlyKnown(t *testing.T) {
+	// In a large fleet, notes about calls to a plain service stay within failure domains. A full replica that refuses a call
+	// then looks as if it had capacity. If it were avoided for the refusal, one replica after the other would drop out of
+	// use under the highest load.
 	for name, tc := range map[string]struct {
 		instances int
 		avoided   bool
