--- a/internal/steer/ask.go
+++ b/internal/steer/ask.go
@@ -57,7 +57,7 @@
 	if rep.limit == nil {
 		return 0, true
 	}
-	if st.now.Before(req.barred[rep.Name]) {
+	if st.now.Before(req.avoidUntil[rep.Name]) {
 		return 0, false
 	}
 	wait := max(0, rep.limit.roomAt.Sub(st.now))
@@ -139,7 +139,7 @@
 		st.sendAsk(req)
 		return false
 	default:
-		st.silent[ak.granter] = st.now
+		st.lastUnanswered[ak.granter] = st.now
 		st.emit(Line{Message: "rate limit: granting instance did not answer", Request: req.Name, Replica: ak.rep.Name, Age: st.now.Sub(req.at)})
 	}
 	req.ask = ask{}
@@ -148,10 +148,10 @@
 
 // bar prevents the request from asking for a send to the replica until the given time.
 func (req *request) bar(rep *replica, until time.Time) {
-	if req.barred == nil {
-		req.barred = map[string]time.Time{}
+	if req.avoidUntil == nil {
+		req.avoidUntil = map[string]time.Time{}
 	}
-	req.barred[rep.Name] = until
+	req.avoidUntil[rep.Name] = until
 }
 
 // receiveGrants applies the answers to this instance's asks.
@@ -172,15 +172,15 @@
 	}
 }
 
-// keptOut reports whether the rate limits of the replicas hold the request back for longer than it may wait.
-func (st *State) keptOut(req *request) bool {
-	_, held := st.heldByLimits(req)
+// blockedByLimits reports whether the rate limits of the replicas hold the request back for longer than it may wait.
+func (st *State) blockedByLimits(req *request) bool {
+	_, held := st.blockedUntil(req)
 	return held
 }
 
-// heldByLimits returns when the first of the service's replicas is likely to accept the request. held is true only if all
+// blockedUntil returns when the first of the service's replicas is likely to accept the request. held is true only if all
 // usable replicas are limited and none is likely to accept the request within the time that it may wait.
-func (st *State) heldByLimits(req *request) (first time.Time, held bool) {
+func (st *State) blockedUntil(req *request) (first time.Time, held bool) {
 	if req.ask.rep != nil {
 		return time.Time{}, false
 	}
@@ -191,7 +191,7 @@
 		if rep.limit == nil {
 			return time.Time{}, false
 		}
-		room := later(rep.limit.roomAt, req.barred[rep.Name])
+		room := later(rep.limit.roomAt, req.avoidUntil[rep.Name])
 		if room.Sub(st.now) <= st.maxWait(req) {
 			return time.Time{}, false
 		}
@@ -202,9 +202,9 @@
 	return first, !first.IsZero()
 }
 
-// comeBackAt returns the time after which a caller that was refused because of rate limits should retry. It spaces the
+// retryAfterLimit returns the time after which a caller that was refused because of rate limits should retry. It spaces the
 // callers evenly, at this instance's share of the sum of the limits, so that the replicas can accept them when they return.
-func (st *State) comeBackAt(req *request, first time.Time) time.Duration {
+func (st *State) retryAfterLimit(req *request, first time.Time) time.Duration {
 	svc := st.serviceOf(req.service)
 	perS := 0.0
 	for _, rep := range st.candidates(svc) {
@@ -213,11 +213,11 @@
 		}
 	}
 	interval := duration(1000 * float64(st.live) / max(minRate, perS))
-	svc.backAt = later(svc.backAt, first)
-	if latest := st.now.Add(maxRetryAfter); svc.backAt.After(latest) {
-		svc.backAt = latest
+	svc.nextRetryAt = later(svc.nextRetryAt, first)
+	if latest := st.now.Add(maxRetryAfter); svc.nextRetryAt.After(latest) {
+		svc.nextRetryAt = latest
 	}
-	after := max(notRunPause, svc.backAt.Sub(st.now))
-	svc.backAt = svc.backAt.Add(interval)
+	after := max(notRunDelay, svc.nextRetryAt.Sub(st.now))
+	svc.nextRetryAt = svc.nextRetryAt.Add(interval)
 	return after
 }
--- a/internal/steer/batch.go
+++ b/internal/steer/batch.go
@@ -21,8 +21,8 @@
 	maxBatchDelay = 100 * time.Millisecond
 	// maxEndBatchDelay is the longest delay of the end of a request at engines with slots to spare.
 	maxEndBatchDelay = 250 * time.Millisecond
-	// liveBegin is the highest age at which an answer's begin shows where its engine is in its passes.
-	liveBegin = sameBoundary
+	// maxLiveBeginAge is the highest age at which an answer's begin shows where its engine is in its passes.
+	maxLiveBeginAge = sameBoundary
 	// maxBatchItems is the number of changes at which a note is sent without further delay, since it must fit into a
 	// datagram.
 	maxBatchItems = 40
@@ -78,10 +78,10 @@
 	return st.live - 1
 }
 
-// tellStart announces the request's new job.
-func (st *State) tellStart(req *request, job Job) {
+// announceStart announces the request's new job.
+func (st *State) announceStart(req *request, job Job) {
 	maxDelay := maxBatchDelay
-	if req.claims || st.readsAlone(req) {
+	if req.claiming || st.readsAlone(req) {
 		maxDelay = 0
 	}
 	few := nearlyFull(req.reps[0])
@@ -110,8 +110,8 @@
 	return req.plan.part > st.tune.LongRead
 }
 
-// tellBegun announces that the request's answer began.
-func (st *State) tellBegun(req *request) {
+// announceBegun announces that the request's answer began.
+func (st *State) announceBegun(req *request) {
 	for _, sub := range st.audiences(req.reps) {
 		pend := st.pendingFor(sub, st.sendDelay(sub, maxBatchDelay))
 		pend.note.Begun = append(pend.note.Begun, req.job)
@@ -119,11 +119,11 @@
 	}
 }
 
-// tellEnded announces that the request's job has ended, sooner where slots are scarce and other instances wait for one.
-func (st *State) tellEnded(req *request) {
+// announceEnded announces that the request's job has ended, sooner where slots are scarce and other instances wait for one.
+func (st *State) announceEnded(req *request) {
 	maxDelay := maxEndBatchDelay
 	switch {
-	case req.claims:
+	case req.claiming:
 		maxDelay = 0
 	case st.scarce(req.reps):
 		maxDelay = maxBatchDelay
@@ -172,10 +172,10 @@
 	return pend
 }
 
-// post sends the notes that are due, and asks for a wake-up when the next one is.
-func (st *State) post() {
+// flushOutbox sends the notes that are due, and asks for a wake-up when the next one is.
+func (st *State) flushOutbox() {
 	next := time.Time{}
-	for _, sub := range inOrder(st.outbox) {
+	for _, sub := range sortedSubsets(st.outbox) {
 		pend := st.outbox[sub]
 		if !pend.due.After(st.now) {
 			delete(st.outbox, sub)
--- a/internal/steer/claim.go
+++ b/internal/steer/claim.go
@@ -17,11 +17,11 @@
 	// scarceSlots is the maximum number of free slots of an engine at which a request must claim one. More are seldom taken
 	// within the time that a note takes to arrive.
 	scarceSlots = 2
-	// claimTime is how long a claim waits for competing claims: several times the delay of a note between two instances.
-	claimTime = 4 * time.Millisecond
+	// claimDelay is how long a claim waits for competing claims: several times the delay of a note between two instances.
+	claimDelay = 4 * time.Millisecond
 	// claimTTL is how long after its arrival a job that another instance announced as a claim still counts as one. Later it
 	// has been sent or withdrawn.
-	claimTTL = 2 * claimTime
+	claimTTL = 2 * claimDelay
 	// claimBackoff is how long a request waits after its claim was withdrawn.
 	claimBackoff = 5 * time.Millisecond
 	// waitingAfter is the age from which a request counts as waiting in myTurn.
@@ -37,12 +37,12 @@
 	return st.live > 1 && st.services[first.Service].engine != nil && first.freeSlots() <= scarceSlots
 }
 
-// settle decides the claims that have waited for claimTime: it sends the requests that win their slot and withdraws the
+// resolveClaims decides the claims that have waited for claimTime: it sends the requests that win their slot and withdraws the
 // claims that lose it to others of higher rank.
-func (st *State) settle() {
+func (st *State) resolveClaims() {
 	var due []*request
 	st.claims = slices.DeleteFunc(st.claims, func(req *request) bool {
-		elapsed := st.now.Sub(req.sentAt) >= claimTime
+		elapsed := st.now.Sub(req.sentAt) >= claimDelay
 		if elapsed {
 			due = append(due, req)
 		}
@@ -50,22 +50,22 @@
 	})
 	for _, req := range due {
 		if st.winsClaim(req) {
-			req.claims = false
+			req.claiming = false
 			st.send(req)
 			continue
 		}
 		st.emit(Line{Message: "claim withdrawn", Request: req.Name, Replica: req.reps[0].Name, Age: st.now.Sub(req.at)})
-		st.withdraw(req)
+		st.withdrawClaim(req)
 		req.notBefore = st.now.Add(claimBackoff)
 		st.waiting = append(st.waiting, req)
 	}
 }
 
-// withdraw drops the request's claim and the booking for it.
-func (st *State) withdraw(req *request) {
+// withdrawClaim drops the request's claim and the booking for it.
+func (st *State) withdrawClaim(req *request) {
 	st.claims = slices.DeleteFunc(st.claims, func(other *request) bool { return other == req })
 	st.unbook(req)
-	req.claims = false
+	req.claiming = false
 }
 
 // winsClaim reports whether the replica has a slot left for the request once all claims of higher rank have theirs.
@@ -111,10 +111,10 @@
 	return wk.key.from
 }
 
-// myTurn reports whether the request may try to take a free slot of the replica now. All instances learn of a freed slot at
+// mayTakeSlot reports whether the request may try to take a free slot of the replica now. All instances learn of a freed slot at
 // once, and all their waiting requests would claim it. So a waiting request tries with the probability that yields about
 // claimsPerSlot claims for each free slot, and tries again at the next tick. New requests always may.
-func (st *State) myTurn(rep *replica, req *request, rivals int) bool {
+func (st *State) mayTakeSlot(rep *replica, req *request, rivals int) bool {
 	if st.now.Sub(req.at) < waitingAfter {
 		return true
 	}
@@ -122,9 +122,9 @@
 	return wanted >= rivals || st.random.IntN(rivals) < wanted
 }
 
-// rivals returns how many requests wait at the instances that use the same replicas. An instance without notes counts as
+// waitingRequests returns how many requests wait at the instances that use the same replicas. An instance without notes counts as
 // one.
-func (st *State) rivals(svc *service) int {
+func (st *State) waitingRequests(svc *service) int {
 	rivals := max(1, len(st.waiting))
 	for _, name := range st.othersUsing(st.ownSubset(svc)) {
 		if pr, ok := st.peers[name]; ok {
--- a/internal/steer/cost.go
+++ b/internal/steer/cost.go
@@ -24,7 +24,7 @@
 	for _, rep := range st.candidates(svc) {
 		if rep.usable(st.now) {
 			count++
-			out := rep.outlook(svc.engine, &st.tune, st.now)
+			out := rep.forecast(svc.engine, &st.tune, st.now)
 			total += min(out.backlog()/1000, maxBacklog)
 		}
 	}
@@ -64,18 +64,18 @@
 	return wk.value * tune.LeaveCost
 }
 
-// ownPauses returns the loss of the request's own value if every pass of the engine is longer than the pause that its caller
+// ownPauseLoss returns the loss of the request's own value if every pass of the engine is longer than the pause that its caller
 // was promised. It keeps streams off an engine that has become several times slower than declared but still answers.
-func (st *State) ownPauses(eng *decl.Engine, req *request, out *outlook) float64 {
+func (st *State) ownPauseLoss(eng *decl.Engine, req *request, out *forecast) float64 {
 	wk := work{gap: req.gap, leaves: req.Patience.Sub(req.at), value: req.value}
 	return st.tune.pauseLoss(&wk, out.slow*float64(eng.Stride)*out.step)
 }
 
-// harm returns the value that the replica's other requests lose additionally if it reads this part too. The reading
+// harmToOthers returns the value that the replica's other requests lose additionally if it reads this part too. The reading
 // lengthens the next pass: streams pause until the pass ends, and answers that wait for the same pass begin at its end.
-func (st *State) harm(rep *replica, out *outlook, part decl.Reading) float64 {
+func (st *State) harmToOthers(rep *replica, out *forecast, part decl.Reading) float64 {
 	pauseBefore, pauseAfter := out.pause(decl.Reading{}), out.pause(part)
-	firstBefore, firstAfter := out.first(decl.Reading{}), out.first(part)
+	firstBefore, firstAfter := out.firstEvent(decl.Reading{}), out.firstEvent(part)
 	var lost float64
 	for i := range rep.works {
 		wk := &rep.works[i]
@@ -91,9 +91,9 @@
 	return lost
 }
 
-// spread returns the cost of a stream with a short gap on an engine that has few such streams. It concentrates them on few
+// spreadCost returns the cost of a stream with a short gap on an engine that has few such streams. It concentrates them on few
 // engines, so that the other engines stay free for long prompts.
-func (tune *Tuning) spread(rep *replica, req *request) float64 {
+func (tune *Tuning) spreadCost(rep *replica, req *request) float64 {
 	alike := 0
 	for i := range rep.works {
 		if wk := &rep.works[i]; wk.first && wk.gap > 0 && wk.gap <= req.gap {
--- a/internal/steer/grant.go
+++ b/internal/steer/grant.go
@@ -96,7 +96,7 @@
 		consider(st.Options.Name)
 	}
 	for _, name := range st.othersUsing(sub) {
-		if !skipSilent || st.now.Sub(st.silent[name]) >= silentTime {
+		if !skipSilent || st.now.Sub(st.lastUnanswered[name]) >= silentTime {
 			consider(name)
 		}
 	}
@@ -196,9 +196,9 @@
 
 // forgetGrants drops expired grants for whose sends no note arrived, and expired entries of unresponsive instances.
 func (st *State) forgetGrants() {
-	for name, at := range st.silent {
+	for name, at := range st.lastUnanswered {
 		if st.now.Sub(at) >= silentTime {
-			delete(st.silent, name)
+			delete(st.lastUnanswered, name)
 		}
 	}
 	for _, rep := range st.replicas {
--- a/internal/steer/limit.go
+++ b/internal/steer/limit.go
@@ -27,11 +27,11 @@
 	TicketRenew = 1200 * time.Millisecond
 	// reservationRate is the number of requests a second that renewing one reservation takes.
 	reservationRate = float64(time.Second) / float64(TicketRenew)
-	// limitStale is the age of a limit from which placement prefers the replica, so that a request checks whether the limit
+	// limitProbeAge is the age of a limit from which placement prefers the replica, so that a request checks whether the limit
 	// still holds.
-	limitStale = 2 * time.Second
-	// probeGain is the bonus in value that placement gives to such a check.
-	probeGain = 0.5
+	limitProbeAge = 2 * time.Second
+	// limitProbeBonus is the bonus in value that placement gives to such a check.
+	limitProbeBonus = 0.5
 	// limitAnnounceInterval is the minimum time between two notes to all about a limit that changes. The periodic summaries
 	// carry the changes in between.
 	limitAnnounceInterval = 200 * time.Millisecond
@@ -43,8 +43,8 @@
 type rateLimit struct {
 	// perS is the limit in requests a second.
 	perS float64
-	// heard is when the newest answer that stated the limit reached any instance.
-	heard time.Time
+	// reportedAt is when the newest answer that stated the limit reached any instance.
+	reportedAt time.Time
 	// announced is when this instance last sent the limit to all others.
 	announced time.Time
 	// roomAt is when the next send is likely to be granted, by the newest answer of the granting instance.
@@ -96,7 +96,7 @@
 		}
 		return
 	}
-	stale := rep.limit != nil && st.now.Sub(rep.limit.heard) >= limitStale/2
+	stale := rep.limit != nil && st.now.Sub(rep.limit.reportedAt) >= limitProbeAge/2
 	changed := st.updateLimit(rep, ev.PerS, st.now)
 	switch {
 	case rep.limit == nil:
@@ -115,14 +115,14 @@
 		return false
 	}
 	if rep.limit == nil {
-		rep.limit = &rateLimit{perS: perS, heard: heard, bucket: rate.NewLimiter(rate.Limit(perS), limitBurst), grants: map[jobKey]time.Time{}}
+		rep.limit = &rateLimit{perS: perS, reportedAt: heard, bucket: rate.NewLimiter(rate.Limit(perS), limitBurst), grants: map[jobKey]time.Time{}}
 		st.emit(Line{Message: "rate limit announced by replica", Replica: rep.Name, PerS: perS, Age: st.now.Sub(heard)})
 		return true
 	}
-	if !heard.After(rep.limit.heard) {
+	if !heard.After(rep.limit.reportedAt) {
 		return false
 	}
-	rep.limit.heard = heard
+	rep.limit.reportedAt = heard
 	if rep.limit.perS == perS {
 		return false
 	}
@@ -134,7 +134,7 @@
 // endLimit drops the limit if the request whose answer stated none was sent after the last answer that stated one arrived.
 // Answers on different connections can overtake each other, so an older answer must not end the limit.
 func (st *State) endLimit(rep *replica, sent time.Time) bool {
-	if rep.limit == nil || !sent.After(rep.limit.heard) {
+	if rep.limit == nil || !sent.After(rep.limit.reportedAt) {
 		return false
 	}
 	rep.limit = nil
@@ -148,7 +148,7 @@
 	if rep.limit == nil {
 		return Limit{Replica: rep.Name, Born: rep.Born, Ended: true, AgeMs: st.ageMs(rep.limitEnded)}
 	}
-	return Limit{Replica: rep.Name, Born: rep.Born, PerS: rep.limit.perS, AgeMs: st.ageMs(rep.limit.heard)}
+	return Limit{Replica: rep.Name, Born: rep.Born, PerS: rep.limit.perS, AgeMs: st.ageMs(rep.limit.reportedAt)}
 }
 
 // ageMs returns the time since at in ms, for a note.
@@ -182,7 +182,7 @@
 			limits[sub] = append(limits[sub], st.limitOf(rep))
 		}
 	}
-	for _, sub := range inOrder(limits) {
+	for _, sub := range sortedSubsets(limits) {
 		for part := range slices.Chunk(limits[sub], maxSummaryJobs) {
 			st.emit(Tell{Note: st.note(Note{Limits: part}), To: st.users(sub)})
 		}
@@ -263,7 +263,7 @@
 			continue
 		}
 		rep.recordSend(st.now, st.now)
-		if i > 0 && i <= len(req.tickets) {
+		if i > 0 && i <= len(req.reservations) {
 			rep.recordSend(st.now, st.now)
 		}
 	}
@@ -271,7 +271,7 @@
 
 // countPeerSend counts what another instance's job sends to the replica at index idx of the job.
 func (st *State) countPeerSend(rep *replica, key jobKey, job *Job, idx int) {
-	if isSurvey(key.from) {
+	if isLoadReport(key.from) {
 		return
 	}
 	if rep.limit != nil && idx == 0 {
--- a/internal/steer/list.go
+++ b/internal/steer/list.go
@@ -66,7 +66,7 @@
 func (st *State) addToService(rep *replica) {
 	svc := st.serviceOf(rep.Service)
 	svc.replicas = append(svc.replicas, rep)
-	svc.relayout()
+	svc.resetLayout()
 	st.emit(Line{Message: "replica joins", Replica: rep.Name})
 }
 
@@ -92,12 +92,12 @@
 	rep.goneAt = st.now
 	svc := st.serviceOf(rep.Service)
 	svc.replicas = slices.DeleteFunc(svc.replicas, func(other *replica) bool { return other == rep })
-	svc.relayout()
+	svc.resetLayout()
 }
 
-// forget drops what has expired: missing replicas whose time has passed, removed ones without work, silent peers and old
+// dropExpired drops what has expired: missing replicas whose time has passed, removed ones without work, silent peers and old
 // grants.
-func (st *State) forget() {
+func (st *State) dropExpired() {
 	for name, until := range st.missing {
 		if rep, ok := st.replicas[name]; ok && !st.now.Before(until) {
 			st.removeMissing(name, rep, false)
--- a/internal/steer/loadquery.go
+++ b/internal/steer/loadquery.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		for _, rep := range svc.replicas {
-			if rep.limit == nil && st.surveyor(svc, rep) {
+			if rep.limit == nil && st.queriesLoad(svc, rep) {
 				engines = append(engines, rep.Replica)
 			}
 		}
@@ -66,11 +66,11 @@
 	return false
 }
 
-// needless reports whether the note must be ignored: it is a load report, and a longer-running instance, this one or a peer,
+// isRedundantReport reports whether the note must be ignored: it is a load report, and a longer-running instance, this one or a peer,
 // has announced the same load. Counted twice, half-full engines would look full and callers be refused for peerSilence. A
 // note from a longer-running peer also drops the load reports booked so far.
-func (st *State) needless(nt *Note) bool {
-	if isSurvey(nt.From) {
+func (st *State) isRedundantReport(nt *Note) bool {
+	if isLoadReport(nt.From) {
 		return st.up() > nt.Up+sameStartTolerance.Milliseconds() || st.hasOlderPeer()
 	}
 	if nt.Up > st.up()+sameStartTolerance.Milliseconds() {
@@ -79,13 +79,13 @@
 	return false
 }
 
-// isSurvey reports whether a note's sender is the pseudo-instance of a load report.
-func isSurvey(from string) bool { return strings.HasPrefix(from, loadReportPrefix) }
+// isLoadReport reports whether a note's sender is the pseudo-instance of a load report.
+func isLoadReport(from string) bool { return strings.HasPrefix(from, loadReportPrefix) }
 
 // dropLoadReports removes the load booked from all load reports.
 func (st *State) dropLoadReports() {
 	for from, pr := range st.peers {
-		if isSurvey(from) {
+		if isLoadReport(from) {
 			st.dropPeer(from, pr)
 		}
 	}
@@ -107,6 +107,6 @@
 		nt.Kept = append(nt.Kept, JobID(id))
 		nt.Jobs = append(nt.Jobs, Job{ID: JobID(id), Replicas: []string{ev.Replica}, Prompt: max(0, ev.Used) / int64(ev.Running), Begun: true})
 	}
-	st.heard(nt)
+	st.receiveNote(nt)
 	st.emit(Tell{Note: nt, To: st.users(st.audience(rep))})
 }
--- a/internal/steer/pace.go
+++ b/internal/steer/pace.go
@@ -63,8 +63,8 @@
 	pend.note.Paces = append(pend.note.Paces, Pace{Replica: rep.Name, Times: float32(rep.slow)})
 }
 
-// takePace applies the slowdown that another instance has observed.
-func (st *State) takePace(pace Pace) {
+// applyPace applies the slowdown that another instance has observed.
+func (st *State) applyPace(pace Pace) {
 	if rep, ok := st.replicas[pace.Replica]; ok {
 		rep.slow = min(max(1, float64(pace.Times)), maxSlow)
 		rep.announcedSlow = rep.slow
--- a/internal/steer/pass.go
+++ b/internal/steer/pass.go
@@ -168,9 +168,9 @@
 	}
 }
 
-// boundary records that a pass has ended, as an answer that begins or an event of a stream shows. It ignores those that
+// observePassEnd records that a pass has ended, as an answer that begins or an event of a stream shows. It ignores those that
 // belong to the end of the pass before.
-func (rep *replica) boundary(eng *decl.Engine, now time.Time) {
+func (rep *replica) observePassEnd(eng *decl.Engine, now time.Time) {
 	if !rep.passes.idle() && now.Sub(rep.passes.from) < sameBoundary {
 		return
 	}
@@ -178,8 +178,8 @@
 	rep.startPass(eng, now)
 }
 
-// outlook is the estimate for a request that is sent to an engine now.
-type outlook struct {
+// forecast is the estimate for a request that is sent to an engine now.
+type forecast struct {
 	// left is the rest of the current pass in ms.
 	left float64
 	// readingInPass is the reading of the current pass in ms.
@@ -194,11 +194,11 @@
 	slow float64
 }
 
-// outlook estimates what follows the current pass.
-func (rep *replica) outlook(eng *decl.Engine, tune *Tuning, now time.Time) outlook {
+// forecast estimates what follows the current pass.
+func (rep *replica) forecast(eng *decl.Engine, tune *Tuning, now time.Time) forecast {
 	rep.forgetPace(now)
 	rep.advance(eng, tune, now)
-	out := outlook{slow: rep.slow}
+	out := forecast{slow: rep.slow}
 	if !rep.passes.idle() {
 		out.left = ms(rep.passes.end.Sub(now))
 	}
@@ -222,12 +222,12 @@
 }
 
 // backlog is the reading in ms that is in progress or waits.
-func (out *outlook) backlog() float64 {
+func (out *forecast) backlog() float64 {
 	return min(out.left, out.readingInPass*out.slow) + out.waits.Time*out.slow
 }
 
-// first is the time in ms until the first event of a request with the reading.
-func (out *outlook) first(rd decl.Reading) float64 {
+// firstEvent is the time in ms until the firstEvent event of a request with the reading.
+func (out *forecast) firstEvent(rd decl.Reading) float64 {
 	all := out.waits.Plus(rd)
 	if out.stride == 0 {
 		return out.left + out.slow*(all.Time+(all.Steps+1)*out.step)
@@ -237,7 +237,7 @@
 }
 
 // partRead is the time in ms until a part of a prompt is read that another engine answers.
-func (out *outlook) partRead(rd decl.Reading) float64 {
+func (out *forecast) partRead(rd decl.Reading) float64 {
 	if out.stride == 0 {
 		return out.left + out.slow*(rd.Time+(rd.Steps+1)*out.step)
 	}
@@ -250,7 +250,7 @@
 }
 
 // pause is the longest of the next passes in ms if the reading is added to what waits, 0 if no request writes.
-func (out *outlook) pause(rd decl.Reading) float64 {
+func (out *forecast) pause(rd decl.Reading) float64 {
 	if out.stride == 0 {
 		return 0
 	}
--- a/internal/steer/peer.go
+++ b/internal/steer/peer.go
@@ -24,9 +24,9 @@
 }
 
 const (
-	// peerSilence is how long the work of an instance still counts after its last note. Engines drop that work when its
+	// peerTimeout is how long the work of an instance still counts after its last note. Engines drop that work when its
 	// connections end.
-	peerSilence = 4 * time.Second
+	peerTimeout = 4 * time.Second
 	// endedRetention is how long an end is kept, so that a start which arrives after it does not book the job again.
 	endedRetention = 3 * time.Second
 )
@@ -69,7 +69,7 @@
 	var kept []JobID
 	for _, id := range slices.Sorted(maps.Keys(st.requests)) {
 		req := st.requests[id]
-		if !req.running && !req.claims {
+		if !req.running && !req.claiming {
 			continue
 		}
 		job := req.booked(st.now)
@@ -80,13 +80,13 @@
 			jobs[sub] = append(jobs[sub], job)
 		}
 	}
-	st.sumDemand()
+	st.sumPeerDemand()
 	st.summarizeLimits()
 	st.summaries++
 	if len(kept) == 0 && st.summaries%idleSummaryInterval != 0 {
 		return
 	}
-	for _, sub := range inOrder(jobs) {
+	for _, sub := range sortedSubsets(jobs) {
 		st.sendSummary(sub, kept, jobs[sub])
 	}
 }
@@ -95,7 +95,7 @@
 func (st *State) sendSummary(sub subset, kept []JobID, jobs []Job) {
 	to := st.users(sub)
 	first := min(len(jobs), maxSummaryJobs)
-	st.emit(Tell{Note: st.note(Note{Whole: true, Kept: kept, Jobs: jobs[:first], Demand: st.demand.asked(st.now)}), To: to})
+	st.emit(Tell{Note: st.note(Note{Whole: true, Kept: kept, Jobs: jobs[:first], Demand: st.demand.decayed(st.now)}), To: to})
 	for part := range slices.Chunk(jobs[first:], maxSummaryJobs) {
 		st.emit(Tell{Note: st.note(Note{Jobs: part}), To: to})
 	}
@@ -105,7 +105,7 @@
 func (req *request) booked(now time.Time) Job {
 	job := Job{
 		ID: req.job, Prompt: req.Prompt, Answer: req.Answer, Goal: millis(req.goal.Sub(now)), Gap: millis(req.gap), Leaves: millis(req.Patience.Sub(req.at)),
-		Tickets: req.tickets, Value: float32(req.value), Claim: req.claims,
+		Tickets: req.reservations, Value: float32(req.value), Claim: req.claiming,
 	}
 	for _, rep := range req.reps {
 		job.Replicas = append(job.Replicas, rep.Name)
@@ -113,9 +113,9 @@
 	return job
 }
 
-// heard applies a note of another instance.
-func (st *State) heard(nt Note) {
-	if nt.From == st.Options.Name || st.needless(&nt) {
+// receiveNote applies a note of another instance.
+func (st *State) receiveNote(nt Note) {
+	if nt.From == st.Options.Name || st.isRedundantReport(&nt) {
 		return
 	}
 	pr := st.peerOf(nt)
@@ -133,7 +133,7 @@
 		st.startPeerJob(nt.From, pr, &nt.Jobs[i])
 	}
 	for _, id := range nt.Begun {
-		st.beginJob(jobKey{nt.From, id}, pr.jobs[id], nt.BegunAge <= millis(liveBegin))
+		st.beginJob(jobKey{nt.From, id}, pr.jobs[id], nt.BegunAge <= millis(maxLiveBeginAge))
 	}
 	for _, id := range nt.Ended {
 		st.endPeerJob(nt.From, pr, id)
@@ -148,7 +148,7 @@
 	st.receiveAsks(nt.From, nt.Asks)
 	st.receiveGrants(nt.Grants)
 	for _, pace := range nt.Paces {
-		st.takePace(pace)
+		st.applyPace(pace)
 	}
 	for _, name := range nt.Down {
 		if rep, ok := st.replicas[name]; ok {
@@ -223,7 +223,7 @@
 // forgetPeers drops the instances from which no note arrived for peerSilence.
 func (st *State) forgetPeers() {
 	for from, pr := range st.peers {
-		if st.now.Sub(pr.heardAt) > peerSilence {
+		if st.now.Sub(pr.heardAt) > peerTimeout {
 			st.dropPeer(from, pr)
 		}
 	}
--- a/internal/steer/place.go
+++ b/internal/steer/place.go
@@ -16,8 +16,8 @@
 type plan struct {
 	// reps has the replica that answers first, then its helpers.
 	reps []*replica
-	// tickets holds how many tokens of memory each helper reserves, nil if the first replica holds all.
-	tickets []int64
+	// reservations holds how many tokens of memory each helper reserves, nil if the first replica holds all.
+	reservations []int64
 	// part is the reading of each replica in ms.
 	part float64
 	// first is the estimated time to the first byte in ms.
@@ -93,7 +93,7 @@
 // candidate is an engine that a request may use, whatever part of the reading it would get.
 type candidate struct {
 	rep      *replica
-	estimate outlook
+	estimate forecast
 	// readsLong is set while the engine reads a long prompt. It takes no part of another one then.
 	readsLong bool
 	// penalty makes the engine less attractive without costing any caller anything.
@@ -199,7 +199,7 @@
 		pl.first = max(pl.first, quotes[i].helperTime)
 		if missing > 0 {
 			ticket := min(missing, quotes[i].freeTokens)
-			pl.tickets = append(pl.tickets, ticket)
+			pl.reservations = append(pl.reservations, ticket)
 			missing -= ticket
 		}
 	}
@@ -218,7 +218,7 @@
 func (st *State) engines(svc *service, req *request) []candidate {
 	replicas := st.candidates(svc)
 	engines := make([]candidate, 0, len(replicas))
-	rivals := st.rivals(svc)
+	rivals := st.waitingRequests(svc)
 	for _, rep := range replicas {
 		if !rep.usable(st.now) || slices.Contains(req.tried, rep.Name) {
 			continue
@@ -229,7 +229,7 @@
 		}
 		cand := st.candidateOf(svc, req, rep)
 		cand.estimate.left += ms(wait)
-		cand.canAnswer = rep.running() < svc.engine.Slots && st.myTurn(rep, req, rivals)
+		cand.canAnswer = rep.running() < svc.engine.Slots && st.mayTakeSlot(rep, req, rivals)
 		engines = append(engines, cand)
 	}
 	return engines
@@ -237,15 +237,15 @@
 
 // candidateOf returns the replica as a candidate for the request. The caller decides whether it can answer.
 func (st *State) candidateOf(svc *service, req *request, rep *replica) candidate {
-	cand := candidate{rep: rep, limited: rep.limit != nil, estimate: rep.outlook(svc.engine, &st.tune, st.now), freeTokens: rep.free(svc.engine)}
+	cand := candidate{rep: rep, limited: rep.limit != nil, estimate: rep.forecast(svc.engine, &st.tune, st.now), freeTokens: rep.free(svc.engine)}
 	cand.readsLong = st.readsLong(rep, &cand.estimate)
-	cand.spreadCost = st.tune.spread(rep, req)
+	cand.spreadCost = st.tune.spreadCost(rep, req)
 	cand.penalty = st.tune.Crowding * st.random.Float64()
 	if rep.FailureDomain != st.Options.FailureDomain {
 		cand.penalty += st.tune.FarCost
 	}
-	if cand.limited && st.now.Sub(rep.limit.heard) > limitStale {
-		cand.penalty -= probeGain
+	if cand.limited && st.now.Sub(rep.limit.reportedAt) > limitProbeAge {
+		cand.penalty -= limitProbeBonus
 	}
 	return cand
 }
@@ -259,10 +259,10 @@
 		if long && cand.readsLong || cand.limited && count > 1 {
 			continue
 		}
-		qt := quote{candidate: cand, answerTime: cand.estimate.first(part), helperTime: cand.estimate.partRead(part)}
+		qt := quote{candidate: cand, answerTime: cand.estimate.firstEvent(part), helperTime: cand.estimate.partRead(part)}
 		qt.latenessLoss = st.lateness(req, qt.answerTime)
-		qt.pauseLoss = st.ownPauses(eng, req, &cand.estimate)
-		qt.harm = st.harm(cand.rep, &cand.estimate, part)
+		qt.pauseLoss = st.ownPauseLoss(eng, req, &cand.estimate)
+		qt.harm = st.harmToOthers(cand.rep, &cand.estimate, part)
 		quotes = append(quotes, qt)
 	}
 	return quotes
@@ -279,7 +279,7 @@
 // readsLong reports whether the replica is reading a long prompt, or a part of one, and will not be done soon. An engine
 // reads the newest part before all others, so a sequence of new parts would hold back the earlier ones until the load
 // falls. Requests that wait at the instance keep their order.
-func (st *State) readsLong(rep *replica, out *outlook) bool {
+func (st *State) readsLong(rep *replica, out *forecast) bool {
 	for i := range rep.works {
 		wk := &rep.works[i]
 		if !wk.long || wk.begun || !wk.first && wk.stage == stageRead {
--- a/internal/steer/price.go
+++ b/internal/steer/price.go
@@ -70,8 +70,8 @@
 	at time.Time
 }
 
-// asked lets the demand decay up to now and returns it.
-func (mt *demandMeter) asked(now time.Time) Demand {
+// decayed lets the demand decay up to now and returns it.
+func (mt *demandMeter) decayed(now time.Time) Demand {
 	if !mt.at.IsZero() {
 		keep := float32(math.Exp(-now.Sub(mt.at).Seconds() / demandTimeConstant.Seconds()))
 		mt.Value *= keep
@@ -82,18 +82,18 @@
 	return mt.Demand
 }
 
-// ask adds a prompt to the demand at its caller's first try.
-func (st *State) ask(eng *decl.Engine, req *request) {
+// recordDemand adds a prompt to the demand at its caller's first try.
+func (st *State) recordDemand(eng *decl.Engine, req *request) {
 	reading := eng.Reading(req.Prompt, 1).Alone(eng) / 1000
-	st.demand.asked(st.now)
+	st.demand.decayed(st.now)
 	st.demand.Demand = st.demand.plus(Demand{
 		Value: float32(req.value), Reading: float32(reading), Room: float32(reading * req.Route.Goal.Std().Seconds()),
 	})
 }
 
-// sumDemand adds up the demand at the other instances in the order of their names: in another order the rounding would
+// sumPeerDemand adds up the demand at the other instances in the order of their names: in another order the rounding would
 // differ, and what an instance does must follow from its events alone.
-func (st *State) sumDemand() {
+func (st *State) sumPeerDemand() {
 	st.othersDemand = Demand{}
 	for _, from := range slices.Sorted(maps.Keys(st.peers)) {
 		st.othersDemand = st.othersDemand.plus(st.peers[from].demand)
@@ -112,7 +112,7 @@
 
 // pricesOf returns the prices for the service, from its own backlog and the demand for all services.
 func (st *State) pricesOf(svc *service) prices {
-	dm := st.demand.asked(st.now).plus(st.othersDemand)
+	dm := st.demand.decayed(st.now).plus(st.othersDemand)
 	density := dm.valuePerReading()
 	return prices{
 		idle:    density * st.tune.TimeShare,
--- a/internal/steer/queue.go
+++ b/internal/steer/queue.go
@@ -59,11 +59,11 @@
 	if pl.reps[0].limit != nil {
 		return st.askToSend(req, pl.reps[0])
 	}
-	req.claims = st.contested(&pl)
+	req.claiming = st.contested(&pl)
 	st.book(req, pl)
-	if req.claims {
+	if req.claiming {
 		st.claims = append(st.claims, req)
-		st.emit(Wake{After: claimTime})
+		st.emit(Wake{After: claimDelay})
 		return true
 	}
 	st.send(req)
@@ -82,31 +82,31 @@
 		case !st.now.Before(req.Deadline) || !req.begun && !st.now.Before(req.Patience) || st.waitedTooLong(req):
 			expired = append(expired, req)
 		case req.hasTurn():
-		case req.attempt == 0 && !req.returned && st.outOfTime(req):
+		case req.attempt == 0 && !req.triedBefore && st.outOfTime(req):
 			outOfTime = append(outOfTime, req)
-		case st.keptOut(req):
+		case st.blockedByLimits(req):
 			limited = append(limited, req)
 		}
 	}
 	for _, req := range expired {
-		st.refuse(req, ReasonDeadline, busyPause)
+		st.refuse(req, ReasonDeadline, busyRetryDelay)
 	}
 	for _, req := range outOfTime {
 		st.refuse(req, ReasonBusy, st.retryAfter(req))
 	}
 	for _, req := range limited {
-		first, _ := st.heldByLimits(req)
-		st.refuse(req, ReasonLimited, st.comeBackAt(req, first))
+		first, _ := st.blockedUntil(req)
+		st.refuse(req, ReasonLimited, st.retryAfterLimit(req, first))
 	}
 	for _, req := range draining {
-		st.refuse(req, ReasonDraining, drainPause)
+		st.refuse(req, ReasonDraining, drainRetryDelay)
 	}
 }
 
 // outOfTime reports whether a first try has waited until its answer could hardly begin by the goal that it arrived with.
 func (st *State) outOfTime(req *request) bool {
 	if req.late {
-		return st.misses(req, req.aim)
+		return st.misses(req, req.originalGoal)
 	}
 	return st.tooLate(req)
 }
@@ -115,27 +115,27 @@
 // Tuning.MaxRewaitShare of its caller's time. If it has found no replica until then, it seldom finds one before its
 // caller leaves, and the caller is better off with a refusal.
 func (st *State) waitedTooLong(req *request) bool {
-	if req.begun || req.attempt == 0 && !req.returned || req.attempt > 0 && st.serviceOf(req.service).engine == nil {
+	if req.begun || req.attempt == 0 && !req.triedBefore || req.attempt > 0 && st.serviceOf(req.service).engine == nil {
 		return false
 	}
 	given := req.Given
 	if given == 0 {
 		given = req.Deadline.Sub(req.at)
 	}
-	return st.now.Sub(req.waitsFrom) > time.Duration(st.tune.MaxRewaitShare*float64(given))
+	return st.now.Sub(req.waitingSince) > time.Duration(st.tune.MaxRewaitShare*float64(given))
 }
 
-// recognize detects a caller's retry: it has less time than any caller of its route has at its first try. Its goal
+// detectRetry detects a caller's retry: it has less time than any caller of its route has at its first try. Its goal
 // counts from the first try, which was at least as long ago as its time is short. The caller may have no further try, so
 // the request waits for as long as it can.
-func (st *State) recognize(req *request) {
-	full := max(st.given[req.Route.Name], req.Given)
-	st.given[req.Route.Name] = full
+func (st *State) detectRetry(req *request) {
+	full := max(st.longestTimeouts[req.Route.Name], req.Given)
+	st.longestTimeouts[req.Route.Name] = full
 	minGiven := time.Duration(st.tune.MinFirstTryShare * float64(full))
 	if req.Given == 0 || req.Given >= minGiven {
 		return
 	}
-	req.returned = true
+	req.triedBefore = true
 	req.goal = req.goal.Add(req.Given - minGiven)
 	st.markLate(req)
 }
@@ -156,7 +156,7 @@
 		st.emit(Line{Message: "goal out of reach", Request: req.Name, Age: st.now.Sub(req.at), Estimate: readTime, Tokens: req.Prompt})
 	}
 	req.late = true
-	req.aim, req.worth = req.goal, req.value
+	req.originalGoal, req.originalValue = req.goal, req.value
 	req.goal = req.Patience
 	req.value *= 1 - st.tune.LateShare
 }
@@ -175,7 +175,7 @@
 // retryAfter is when the caller of a refused request should retry, within the time for which callers wait when told to.
 // It spreads the callers over the time in which the backlog falls, so that they do not return together.
 func (st *State) retryAfter(req *request) time.Duration {
-	after := busyPause + duration(st.meanBacklog(st.serviceOf(req.service))*1000) + time.Duration(st.random.Int64N(int64(retrySpread)))
+	after := busyRetryDelay + duration(st.meanBacklog(st.serviceOf(req.service))*1000) + time.Duration(st.random.Int64N(int64(retrySpread)))
 	longest := time.Duration(st.tune.PatientShare * float64(req.Deadline.Sub(st.now)))
 	return min(after, max(longest, time.Millisecond))
 }
--- a/internal/steer/replica.go
+++ b/internal/steer/replica.go
@@ -151,7 +151,7 @@
 	wk.begun = true
 	wk.stage = stageRead
 	if live && wk.first && eng != nil {
-		rep.boundary(eng, now)
+		rep.observePassEnd(eng, now)
 	}
 }
 
--- a/internal/steer/retry.go
+++ b/internal/steer/retry.go
@@ -29,7 +29,7 @@
 	case ev.Result == ResultDone:
 		st.finish(req, Finish{ID: req.ID}, "answered")
 	case st.drain != nil && !st.now.Before(st.drain.Stop):
-		st.refuse(req, ReasonDraining, drainPause)
+		st.refuse(req, ReasonDraining, drainRetryDelay)
 	case req.disconnected || ev.Result == ResultCancelled:
 		st.finish(req, Finish{ID: req.ID}, "caller left")
 	default:
@@ -80,7 +80,7 @@
 	}
 	eng := st.serviceOf(rep.Service).engine
 	if eng == nil {
-		return !st.partlyTold()
+		return !st.plainNotesAreLocal()
 	}
 	return rep.free(eng) >= req.tokens()
 }
@@ -108,16 +108,16 @@
 		return
 	}
 	if !st.mayRepeat(req, ev) {
-		st.refuse(req, ReasonUpstream, busyPause)
+		st.refuse(req, ReasonUpstream, busyRetryDelay)
 		return
 	}
 	if !slices.Contains(req.tried, req.reps[0].Name) {
 		req.tried = append(req.tried, req.reps[0].Name)
 	}
 	if ev.Result == ResultNotRun {
-		req.notBefore = st.now.Add(notRunPause)
+		req.notBefore = st.now.Add(notRunDelay)
 	}
-	req.waitsFrom = st.now
+	req.waitingSince = st.now
 	st.waiting = append(st.waiting, req)
 }
 
--- a/internal/steer/serve.go
+++ b/internal/steer/serve.go
@@ -10,28 +10,28 @@
 // The lifecycle of a request, from its arrival to its single Finish.
 
 const (
-	// busyPause is the base retry delay for a caller that was refused for lack of capacity or after a failure.
-	busyPause = 500 * time.Millisecond
-	// drainPause is the retry delay for a caller whose instance shuts down. It is short since another instance can serve the
+	// busyRetryDelay is the base retry delay for a caller that was refused for lack of capacity or after a failure.
+	busyRetryDelay = 500 * time.Millisecond
+	// drainRetryDelay is the retry delay for a caller whose instance shuts down. It is short since another instance can serve the
 	// retry.
-	drainPause = 20 * time.Millisecond
-	// notRunPause is the delay before a request is sent again after a replica refused it.
-	notRunPause = 20 * time.Millisecond
+	drainRetryDelay = 20 * time.Millisecond
+	// notRunDelay is the delay before a request is sent again after a replica refused it.
+	notRunDelay = 20 * time.Millisecond
 )
 
 func (st *State) arrived(ev Arrived) {
-	req := &request{Arrived: ev, at: st.now, waitsFrom: st.now, service: st.chooseService(ev.Route)}
+	req := &request{Arrived: ev, at: st.now, waitingSince: st.now, service: st.chooseService(ev.Route)}
 	req.goal = st.now.Add(ev.Route.Goal.Std())
 	req.gap = ev.Route.Gap.Std()
 	req.value = st.valueOf(ev.Route.Name, ev.Prompt)
-	st.recognize(req)
+	st.detectRetry(req)
 	if st.quarantined(ev.Digest) {
 		st.emit(Line{Message: "request refused", Request: ev.Name, Reason: ReasonQuarantine})
 		st.emit(Finish{ID: ev.ID, Refusal: &Refusal{Reason: ReasonQuarantine, NotRun: true, RetryAfter: quarantineTime}})
 		return
 	}
-	if eng := st.serviceOf(req.service).engine; eng != nil && !req.returned {
-		st.ask(eng, req)
+	if eng := st.serviceOf(req.service).engine; eng != nil && !req.triedBefore {
+		st.recordDemand(eng, req)
 	}
 	st.requests[ev.ID] = req
 	st.ledgerOf(req.service).countRequest(st.now, st.Options.Budget.Window)
@@ -74,11 +74,11 @@
 func (st *State) bookGranted(req *request, pl plan) {
 	req.plan = pl
 	req.reps = append(req.reps[:0], pl.reps...)
-	req.tickets = append(req.tickets[:0], pl.tickets...)
+	req.reservations = append(req.reservations[:0], pl.reservations...)
 	req.sentAt = st.now
 	job := req.booked(st.now)
 	st.startJob(jobKey{id: req.job}, &job)
-	st.tellStart(req, job)
+	st.announceStart(req, job)
 }
 
 // jobsPerRequest is how many jobs of one request have distinct IDs. Peers forget that an ID has ended before that many jobs
@@ -88,7 +88,7 @@
 // unbook removes the request's job from its replicas and announces its end.
 func (st *State) unbook(req *request) {
 	st.endJob(jobKey{id: req.job}, req.reps)
-	st.tellEnded(req)
+	st.announceEnded(req)
 }
 
 // send starts the next attempt of a booked request.
@@ -105,8 +105,8 @@
 	for i, rep := range pl.reps[1:] {
 		helpers = append(helpers, rep.Name)
 		helper := Helper{Replica: rep.Replica}
-		if i < len(pl.tickets) {
-			helper.Tokens = pl.tickets[i]
+		if i < len(pl.reservations) {
+			helper.Tokens = pl.reservations[i]
 		}
 		eff.Helpers = append(eff.Helpers, helper)
 	}
@@ -158,7 +158,7 @@
 	}
 	req.begun = true
 	st.beginJob(jobKey{id: req.job}, req.reps, true)
-	st.tellBegun(req)
+	st.announceBegun(req)
 	st.emit(Line{Message: "answer began", Request: req.Name, Replica: req.reps[0].Name, Age: st.now.Sub(req.at), Attempt: req.attempt})
 	st.dispatch()
 }
@@ -173,7 +173,7 @@
 	rep := req.reps[0]
 	if eng := st.serviceOf(rep.Service).engine; eng != nil {
 		st.learnPace(eng, rep, ev.Pause)
-		rep.boundary(eng, st.now)
+		rep.observePassEnd(eng, st.now)
 	}
 }
 
@@ -187,8 +187,8 @@
 		st.abort(req)
 		return
 	}
-	if req.claims {
-		st.withdraw(req)
+	if req.claiming {
+		st.withdrawClaim(req)
 	}
 	st.finish(req, Finish{ID: req.ID}, "caller left")
 }
@@ -214,11 +214,11 @@
 // endOf returns the outcome of the request for the log. A late request is reported with its original goal and value.
 func (st *State) endOf(req *request) *End {
 	end := &End{
-		Route: req.Route.Name, Value: req.value, Back: req.returned,
+		Route: req.Route.Name, Value: req.value, Back: req.triedBefore,
 		Goal: req.goal.Sub(req.at), Gap: req.gap, Pause: req.pause,
 	}
 	if req.late {
-		end.Value, end.Goal = req.worth, req.aim.Sub(req.at)
+		end.Value, end.Goal = req.originalValue, req.originalGoal.Sub(req.at)
 	}
 	if !req.firstAt.IsZero() {
 		end.First = req.firstAt.Sub(req.at)
--- a/internal/steer/state.go
+++ b/internal/steer/state.go
@@ -45,8 +45,8 @@
 	peers  map[string]*peer
 	// others lists the other live instances, sorted by name.
 	others []Instance
-	// names lists the names of others, in the same order.
-	names []string
+	// otherNames lists the otherNames of others, in the same order.
+	otherNames []string
 	// live counts the live instances, this one included.
 	live int
 	// usersOf caches the names of the other instances that use a subset.
@@ -63,14 +63,14 @@
 	budgets map[string]*ledger
 	// quarantine counts replica deaths by request content.
 	quarantine quarantine
-	// means holds the moving average of the prompt length in tokens, by route.
-	means map[string]float64
-	// given holds the longest timeout that any caller has announced, by route.
-	given map[string]time.Duration
+	// meanPrompts holds the moving average of the prompt length in tokens, by route.
+	meanPrompts map[string]float64
+	// longestTimeouts holds the longest timeout that any caller has announced, by route.
+	longestTimeouts map[string]time.Duration
 	// missing holds, by name, when a replica that a possibly incomplete list left out is treated as gone.
 	missing map[string]time.Time
-	// silent holds, by name, when an instance last failed to answer an Ask.
-	silent map[string]time.Time
+	// lastUnanswered holds, by name, when an instance last failed to answer an Ask.
+	lastUnanswered map[string]time.Time
 	// wakeAt is the time of the last wake-up that was requested for the waiting requests.
 	wakeAt time.Time
 	// loadQueryAt is when the engines are asked for their load, zero before the first replica list.
@@ -97,8 +97,8 @@
 	layout *layout
 	// candidates caches the replicas of the subset that this instance uses, nil until they are computed.
 	candidates []*replica
-	// backAt is the retry time of the next caller that is refused because of the replicas' rate limits.
-	backAt time.Time
+	// nextRetryAt is the retry time of the next caller that is refused because of the replicas' rate limits.
+	nextRetryAt time.Time
 }
 
 // request is the state of one request from its arrival to its Finish.
@@ -113,20 +113,20 @@
 	gap time.Duration
 	// value is the utility of an answer that is in time; for a late request, of an answer at all.
 	value float64
-	// returned reports whether the caller seems to have tried before, see recognize.
-	returned bool
+	// triedBefore reports whether the caller seems to have tried before, see recognize.
+	triedBefore bool
 	// late reports whether the original goal has passed or is out of reach.
 	late bool
-	// aim is the original goal of a late request.
-	aim time.Time
-	// worth is the original value of a late request.
-	worth float64
+	// originalGoal is the original goal of a late request.
+	originalGoal time.Time
+	// originalValue is the original value of a late request.
+	originalValue float64
 	// attempt is the number of the current or last attempt, 0 before the first.
 	attempt int
 	// running reports whether an attempt is in progress on reps.
 	running bool
-	// claims reports whether the request holds a claim on reps that other instances may still contest.
-	claims bool
+	// claiming reports whether the request holds a claim on reps that other instances may still contest.
+	claiming bool
 	// job identifies the current ask, claim or attempt.
 	job JobID
 	// jobs counts the jobs of the request so far.
@@ -134,8 +134,8 @@
 	plan plan
 	// reps holds the replicas of the current or last job, the one that answers first.
 	reps []*replica
-	// tickets holds how many tokens of memory each helper reserves.
-	tickets []int64
+	// reservations holds how many tokens of memory each helper reserves.
+	reservations []int64
 	// sentAt is when the current job was booked.
 	sentAt time.Time
 	// runs counts the attempts that may have run.
@@ -156,14 +156,14 @@
 	aborted bool
 	// failureHeld reports whether the shell holds a replica's failure answer that can be delivered.
 	failureHeld bool
-	// waitsFrom is when the request last began to wait for a replica: on arrival or after a failed attempt.
-	waitsFrom time.Time
+	// waitingSince is when the request last began to wait for a replica: on arrival or after a failed attempt.
+	waitingSince time.Time
 	// notBefore is the earliest time of the next attempt, after a refusal or a withdrawn claim.
 	notBefore time.Time
 	// ask is the pending permission request for a rate-limited replica.
 	ask ask
-	// barred holds, by name, until when the request skips a rate-limited replica.
-	barred map[string]time.Time
+	// avoidUntil holds, by name, until when the request skips a rate-limited replica.
+	avoidUntil map[string]time.Time
 }
 
 // New returns the state of an instance that has seen no event yet.
@@ -182,11 +182,11 @@
 		budgets:    map[string]*ledger{},
 		quarantine: newQuarantine(),
 		missing:    map[string]time.Time{},
-		silent:     map[string]time.Time{},
+		lastUnanswered:     map[string]time.Time{},
 		usersOf:    map[subset][]string{},
 		outbox:     map[subset]*pending{},
-		means:      map[string]float64{},
-		given:      map[string]time.Duration{},
+		meanPrompts:      map[string]float64{},
+		longestTimeouts:      map[string]time.Duration{},
 		random:     rand.New(rand.NewPCG(opts.Seed, opts.Seed)),
 	}
 }
@@ -216,9 +216,9 @@
 	case Configured:
 		st.configured(ev)
 	case Peered:
-		st.peered(ev)
+		st.updatePeers(ev)
 	case Heard:
-		st.heard(ev.Note)
+		st.receiveNote(ev.Note)
 	case Surveyed:
 		st.loadReported(ev)
 	case Answered:
@@ -228,15 +228,15 @@
 	case Summarized:
 		st.summarize()
 	case Ticked:
-		st.settle()
+		st.resolveClaims()
 		st.queryLoad()
 		st.expire()
 		st.abortAtStop()
-		st.forget()
+		st.dropExpired()
 		st.dispatch()
 	}
 	st.scheduleWake()
-	st.post()
+	st.flushOutbox()
 	return st.effects
 }
 
@@ -286,7 +286,7 @@
 	for name, pool := range ev.Routing.Services {
 		svc := st.serviceOf(name)
 		svc.engine = pool.Engine
-		svc.relayout()
+		svc.resetLayout()
 	}
 	st.dispatch()
 }
--- a/internal/steer/subset.go
+++ b/internal/steer/subset.go
@@ -51,9 +51,9 @@
 	parts int
 }
 
-// inOrder returns the keys in a fixed order, so that the effects of an instance depend on its events alone and not on the
+// sortedSubsets returns the keys in a fixed order, so that the effects of an instance depend on its events alone and not on the
 // order of map iteration.
-func inOrder[Value any](bySubset map[subset]Value) []subset {
+func sortedSubsets[Value any](bySubset map[subset]Value) []subset {
 	return slices.SortedFunc(maps.Keys(bySubset), func(a, b subset) int {
 		return cmp.Or(cmp.Compare(a.domain, b.domain), cmp.Compare(a.part, b.part), cmp.Compare(a.parts, b.parts))
 	})
@@ -207,14 +207,14 @@
 // audience returns the subset whose users must receive notes about work at the replica.
 func (st *State) audience(rep *replica) subset {
 	svc := st.serviceOf(rep.Service)
-	if svc.engine == nil && st.partlyTold() {
+	if svc.engine == nil && st.plainNotesAreLocal() {
 		return subset{domain: st.Options.FailureDomain, parts: 1}
 	}
 	return st.layoutOf(svc).ofReplica(rep)
 }
 
-// partlyTold reports whether notes about calls to plain services are sent only within the failure domain.
-func (st *State) partlyTold() bool { return st.live > maxPlainAudience }
+// plainNotesAreLocal reports whether notes about calls to plain services are sent only within the failure domain.
+func (st *State) plainNotesAreLocal() bool { return st.live > maxPlainAudience }
 
 // users returns the names of the other instances that use the subset, or nil if all of them do. The names are cached until
 // the instances change.
@@ -241,32 +241,32 @@
 	if names := st.users(sub); names != nil {
 		return names
 	}
-	return st.names
+	return st.otherNames
 }
 
-// peered replaces the list of the other instances.
-func (st *State) peered(ev Peered) {
+// updatePeers replaces the list of the other instances.
+func (st *State) updatePeers(ev Peered) {
 	st.others = slices.SortedFunc(slices.Values(ev.Instances), func(a, b Instance) int { return cmp.Compare(a.Name, b.Name) })
-	st.names = st.names[:0]
+	st.otherNames = st.otherNames[:0]
 	for _, inst := range st.others {
-		st.names = append(st.names, inst.Name)
+		st.otherNames = append(st.otherNames, inst.Name)
 	}
 	st.live = len(st.others) + 1
 	clear(st.usersOf)
 	for _, svc := range st.services {
-		svc.relayout()
+		svc.resetLayout()
 	}
 }
 
-// relayout discards the cached split of the service.
-func (svc *service) relayout() {
+// resetLayout discards the cached split of the service.
+func (svc *service) resetLayout() {
 	svc.layout = nil
 	svc.candidates = nil
 }
 
-// surveyor reports whether this instance should ask the replica for its load. Of the instances that use the replica's
+// queriesLoad reports whether this instance should ask the replica for its load. Of the instances that use the replica's
 // subset, the first by name asks; instances from which no note has arrived are ignored.
-func (st *State) surveyor(svc *service, rep *replica) bool {
+func (st *State) queriesLoad(svc *service, rep *replica) bool {
 	sub := st.layoutOf(svc).ofReplica(rep)
 	if sub == (subset{}) {
 		return !slices.ContainsFunc(slices.Collect(maps.Keys(st.peers)), st.peerPrecedes)
--- a/internal/steer/value.go
+++ b/internal/steer/value.go
@@ -17,12 +17,12 @@
 	if prompt == 0 {
 		return st.tune.BaseValue
 	}
-	mean, ok := st.means[route]
+	mean, ok := st.meanPrompts[route]
 	if !ok {
 		mean = float64(prompt)
 	}
 	mean += meanPromptGain * (float64(prompt) - mean)
-	st.means[route] = mean
+	st.meanPrompts[route] = mean
 	kind := st.tune.BaseValue * math.Pow(mean/basePromptTokens, st.tune.KindPower)
 	return kind * min(st.tune.MaxLengthFactor, st.tune.FixedShare+(1-st.tune.FixedShare)*float64(prompt)/mean)
 }
