--- a/internal/admit/account.go
+++ b/internal/admit/account.go
@@ -10,52 +10,60 @@
 
 // Retry budget of one organisation.
 const (
-	// retryShare is how many retries each admitted request earns.
-	retryShare = 0.1
-	// retryBurst bounds what is saved up.
+	// retriesPerRequest is the number of retries that each admitted request adds to the budget.
+	retriesPerRequest = 0.1
+	// retryBurst is the initial and the maximum number of retries in the budget.
 	retryBurst = 10
 )
 
-// account is what one organisation has used.
+// account tracks the use of one organisation's limits on this instance.
 type account struct {
-	requests float64
-	tokens   float64
-	filled   time.Time
-	inFlight int64
-	tokensIn int64
-	retries  float64
-	// offeredRequests and offeredTokens are what it asked for lately, refused or not, up to offeredAt.
+	// requestBucket is the level of the token bucket that limits the request rate, in requests.
+	requestBucket float64
+	// tokenBucket is the level of the token bucket that limits the rate of prompt and answer tokens.
+	tokenBucket float64
+	// refilledAt is when both buckets were last refilled.
+	refilledAt       time.Time
+	requestsInFlight int64
+	tokensInFlight   int64
+	// retries is what is left of the retry budget.
+	retries float64
+	// offeredRequests counts the requests offered, refused ones included, with exponential decay.
 	offeredRequests float64
-	offeredTokens   float64
-	offeredAt       time.Time
-	// share is the part of the limits that this instance was told, in force until shareUntil.
-	share      float64
+	// offeredTokens counts the tokens offered, refused ones included, with exponential decay.
+	offeredTokens float64
+	// offeredAt is the time up to which both counts are decayed.
+	offeredAt time.Time
+	// share is the share of the limits that was allocated to this instance, from 0 to 1.
+	share float64
+	// shareUntil is when share expires.
 	shareUntil time.Time
 }
 
-// Admit takes a request into the organisation's limits, or says why not. Every admitted request needs a Release.
+// Admit charges a request to the organisation's limits, or returns why it is refused. Each admitted request needs a
+// Release.
 func (st *State) Admit(now time.Time, name string, org decl.Organisation, tokens int64) *effect.Refusal {
 	acc, share := st.account(now, name, org.Limits)
 	lim := org.Limits
-	acc.offer(now, tokens, st.TellPeriod())
+	acc.recordOffered(now, tokens, st.TellPeriod())
 	if wait := acc.wait(lim, tokens, share); wait > 0 {
-		return limited(wait, "slow down to the declared rate")
+		return limitRefusal(wait, "slow down to the declared rate")
 	}
-	if lim.RequestsInFlight > 0 && float64(acc.inFlight) >= math.Ceil(float64(lim.RequestsInFlight)*share) {
-		return limited(time.Second, "wait for earlier requests to end")
+	if lim.RequestsInFlight > 0 && float64(acc.requestsInFlight) >= math.Ceil(float64(lim.RequestsInFlight)*share) {
+		return limitRefusal(time.Second, "wait for earlier requests to end")
 	}
-	if lim.TokensInFlight > 0 && acc.tokensIn > 0 && float64(acc.tokensIn+tokens) > float64(lim.TokensInFlight)*share {
-		return limited(time.Second, "wait for earlier prompts to end")
+	if lim.TokensInFlight > 0 && acc.tokensInFlight > 0 && float64(acc.tokensInFlight+tokens) > float64(lim.TokensInFlight)*share {
+		return limitRefusal(time.Second, "wait for earlier prompts to end")
 	}
-	acc.requests--
-	acc.tokens -= float64(tokens)
-	acc.inFlight++
-	acc.tokensIn += tokens
-	acc.retries = min(acc.retries+retryShare, retryBurst)
+	acc.requestBucket--
+	acc.tokenBucket -= float64(tokens)
+	acc.requestsInFlight++
+	acc.tokensInFlight += tokens
+	acc.retries = min(acc.retries+retriesPerRequest, retryBurst)
 	return nil
 }
 
-func limited(wait time.Duration, remedy string) *effect.Refusal {
+func limitRefusal(wait time.Duration, remedy string) *effect.Refusal {
 	return &effect.Refusal{
 		Reason:     effect.ReasonLimit,
 		Ran:        effect.NotRun,
@@ -64,77 +72,81 @@
 	}
 }
 
-// account returns the organisation's account, filled up to now, and its share of the limits on this instance.
+// account returns the organisation's account, with its buckets refilled up to now, and this instance's share of the
+// organisation's limits.
 func (st *State) account(now time.Time, name string, lim decl.Limits) (acc *account, share float64) {
 	acc, ok := st.orgs[name]
 	if !ok {
-		acc = &account{filled: now, retries: retryBurst}
+		acc = &account{refilledAt: now, retries: retryBurst}
 		st.orgs[name] = acc
 	}
 	share = st.share(now, acc)
 	if !ok {
-		acc.requests = requestBurst(lim, share)
-		acc.tokens = burst(lim.TokensPerSecond, share)
+		acc.requestBucket = requestBurst(lim, share)
+		acc.tokenBucket = burst(lim.TokensPerSecond, share)
 	}
-	passed := now.Sub(acc.filled)
-	acc.requests = min(acc.requests+passed.Seconds()*lim.RequestsPerSecond*share, requestBurst(lim, share))
-	acc.tokens = min(acc.tokens+passed.Seconds()*lim.TokensPerSecond*share, burst(lim.TokensPerSecond, share))
-	acc.filled = now
+	passed := now.Sub(acc.refilledAt)
+	acc.requestBucket = min(acc.requestBucket+passed.Seconds()*lim.RequestsPerSecond*share, requestBurst(lim, share))
+	acc.tokenBucket = min(acc.tokenBucket+passed.Seconds()*lim.TokensPerSecond*share, burst(lim.TokensPerSecond, share))
+	acc.refilledAt = now
 	return acc, share
 }
 
-// An instance lets pass at once burstShares times its share of one second's worth, and minBurst requests of it at
-// least. Requests do not come to the instances in turn: with one share, an organisation that keeps well within its
-// limits would be refused whenever some of its requests meet at one instance. The sustained rate stays the declared
-// one.
+// Burst sizes. Requests are not spread over the instances in strict rotation. If the burst were only an instance's share
+// of one second of the limit, an organisation well within its limits would be refused whenever some of its requests
+// reach the same instance. The sustained rate stays the declared one.
 const (
-	burstShares = 3
-	minBurst    = 4
+	// burstFactor is the burst of an instance as a multiple of its share of one second of the limit.
+	burstFactor = 3
+	// minRequestBurst is the minimum burst in requests, unless one second of the whole limit is less.
+	minRequestBurst = 4
 )
 
+// burst returns the bucket size of an instance with the share of the rate, at most one second of the whole rate.
 func burst(rate, share float64) float64 {
-	return rate * min(1, burstShares*share)
+	return rate * min(1, burstFactor*share)
 }
 
-// requestBurst is never less than the one request that could otherwise never go.
+// requestBurst returns the size of the request bucket. It is at least 1, since a smaller bucket would never admit a
+// request.
 func requestBurst(lim decl.Limits, share float64) float64 {
-	return max(1, burst(lim.RequestsPerSecond, share), min(minBurst, lim.RequestsPerSecond))
+	return max(1, burst(lim.RequestsPerSecond, share), min(minRequestBurst, lim.RequestsPerSecond))
 }
 
-// wait returns how long the rates make the request wait, 0 if it may go. A request larger than the whole bucket goes
-// when the bucket is full, and leaves a debt.
+// wait returns the time until the rate limits admit the request, 0 if they admit it now. A request with more tokens than
+// the bucket can hold is admitted when the bucket is full, and leaves it below zero.
 func (acc *account) wait(lim decl.Limits, tokens int64, share float64) time.Duration {
 	var seconds float64
-	if lim.RequestsPerSecond > 0 && acc.requests < 1 {
-		seconds = (1 - acc.requests) / (lim.RequestsPerSecond * share)
+	if lim.RequestsPerSecond > 0 && acc.requestBucket < 1 {
+		seconds = (1 - acc.requestBucket) / (lim.RequestsPerSecond * share)
 	}
 	if lim.TokensPerSecond > 0 {
 		need := min(float64(tokens), burst(lim.TokensPerSecond, share))
-		seconds = max(seconds, (need-acc.tokens)/(lim.TokensPerSecond*share))
+		seconds = max(seconds, (need-acc.tokenBucket)/(lim.TokensPerSecond*share))
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Release gives back what Admit took.
+// Release returns the in-flight quota that Admit took for a request. The rate limits and the retry budget stay charged.
 func (st *State) Release(name string, tokens int64) {
 	acc, ok := st.orgs[name]
 	if !ok {
 		return
 	}
-	acc.inFlight--
-	acc.tokensIn -= tokens
+	acc.requestsInFlight--
+	acc.tokensInFlight -= tokens
 }
 
-// InFlight returns what the organisation has admitted and not released.
+// InFlight returns the requests of the organisation that were admitted and not released, and the sum of their tokens.
 func (st *State) InFlight(name string) (requests, tokens int64) {
 	acc, ok := st.orgs[name]
 	if !ok {
 		return 0, 0
 	}
-	return acc.inFlight, acc.tokensIn
+	return acc.requestsInFlight, acc.tokensInFlight
 }
 
-// Retry takes one retry from the organisation's budget, or reports false.
+// Retry takes one retry from the organisation's retry budget and reports whether there was one.
 func (st *State) Retry(name string) bool {
 	acc, ok := st.orgs[name]
 	if !ok || acc.retries < 1 {
--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,4 +1,5 @@
-// Package admit decides which requests may wait, in which order they go, and which are refused at once.
+// Package admit enforces the limits of organisations, queues the admitted requests of each service, orders them by the
+// service's queueing discipline, and estimates how long a new request would wait.
 package admit
 
 import (
@@ -8,17 +9,20 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// State holds the limits and queues of one instance.
+// State holds the usage of the organisations' limits and the queues of one instance.
 type State struct {
-	// Instances is how many instances share the limits, at least 1.
+	// Instances is the number of instances that share the limits, at least 1.
 	Instances int
-	orgs      map[string]*account
-	queues    map[string]*queue
-	// services holds the names of queues in the order of their making.
+	// orgs holds the accounts by organisation name.
+	orgs map[string]*account
+	// queues holds the queues by service name.
+	queues map[string]*queue
+	// services holds the keys of queues in the order of creation.
 	services []string
-	// demands holds what organisations ask of which instance, for those whose limits this one shares out.
+	// demands holds the reported demand by organisation and instance, for the organisations whose limits this instance
+	// divides.
 	demands map[string]map[string]demand
-	// backlog is the buffer of Backlogged.
+	// backlog is the buffer that Backlogged returns.
 	backlog []string
 }
 
@@ -27,23 +31,25 @@
 	return &State{Instances: 1, orgs: map[string]*account{}, queues: map[string]*queue{}, demands: map[string]map[string]demand{}}
 }
 
-// Discipline is the order in which the requests of one service go.
+// Discipline is the queueing discipline of a service: the order in which its waiting requests are sent.
 type Discipline interface{ isDiscipline() }
 
-// Priority serves the classes by priority. Items that have waited long go before theirs, up to a share of the work.
+// Priority serves the classes by priority. An item that has waited for half of its time is aged: it is placed right behind
+// the highest class, as long as aged items take no more than a fixed share of the tokens.
 type Priority struct{}
 
-// Weighted shares the service between the classes in proportion to their weights, an absent one counting as 1.
+// Weighted shares the service between the classes in proportion to Weights, keyed by class name. A class without a weight
+// has weight 1.
 type Weighted struct{ Weights map[string]float64 }
 
-// FirstCome serves in the order of arrival, as the baselines do.
+// FirstCome serves the items in the order of their IDs, which is the order of arrival. The baseline policies use it.
 type FirstCome struct{}
 
 func (Priority) isDiscipline()  {}
 func (Weighted) isDiscipline()  {}
 func (FirstCome) isDiscipline() {}
 
-// DisciplineOf returns the discipline that the service declares.
+// DisciplineOf returns the discipline that the service declares; the default is Priority.
 func DisciplineOf(svc decl.Service) Discipline {
 	if svc.Discipline == decl.DisciplineWeighted {
 		return Weighted{Weights: svc.ClassWeights}
@@ -57,28 +63,35 @@
 	Organisation string
 	Service      string
 	Class        decl.LengthClass
-	// Tokens is the prompt and answer together, at least 1.
+	// Tokens is the length of the prompt and the answer together, at least 1.
 	Tokens int64
-	// Work is how long it is expected to keep one replica busy.
+	// Work is the estimated time for which the request keeps one replica busy.
 	Work     time.Duration
 	Arrived  time.Time
 	Deadline time.Time
-	// NotBefore keeps the item back, zero if it may go at once.
+	// NotBefore is the earliest time at which the item may be sent; zero means at once.
 	NotBefore time.Time
 
-	// weight is its organisation's share.
+	// weight is the fair-share weight of its organisation.
 	weight float64
-	// start is the virtual time at which its organisation's share reaches it within its class.
-	start float64
-	// old tells that most of its time is gone, and ages when that will be.
-	old  bool
-	ages time.Time
+	// startTag is the virtual time within its class at which its organisation's fair share reaches the item.
+	startTag float64
+	// aged reports whether the item is in the queue's aged heap.
+	aged bool
+	// agesAt is the time at which the item becomes aged; it is set only under Priority.
+	agesAt time.Time
+	// lane is the lane that holds the item, nil while it is delayed or aged.
 	lane *lane
-	// place, aging and delay are its positions in the heap of its lane or of the old, of ages and of delays; -1 outside.
-	place, aging, delay int
+	// orderIndex is the item's index in the heap of its lane or in the aged heap, -1 if it is in neither.
+	orderIndex int
+	// agingIndex is the item's index in the aging heap, -1 if it is not there.
+	agingIndex int
+	// delayIndex is the item's index in the delayed heap, -1 if it is not there.
+	delayIndex int
 }
 
-// Push queues an item for its service; the weight is its organisation's share, above 0.
+// Push queues an item for its service under the discipline. The weight is the fair-share weight of the item's
+// organisation, above 0.
 func (st *State) Push(it Item, weight float64, disc Discipline) {
 	qu, ok := st.queues[it.Service]
 	if !ok {
@@ -86,13 +99,13 @@
 		st.queues[it.Service] = qu
 		st.services = append(st.services, it.Service)
 	}
-	qu.use(disc)
+	qu.setDiscipline(disc)
 	it.weight = weight
 	qu.push(&it)
 }
 
-// Heads returns the items that may go next in the service, one of each class and the oldest, in the order of preference. The
-// slice is valid until the next call.
+// Heads returns the candidates that may be sent next in the service, in the order of preference: the first item of each
+// lane and the aged item with the earliest deadline. The slice is valid until the next call.
 func (st *State) Heads(now time.Time, service string) []*Item {
 	qu, ok := st.queues[service]
 	if !ok {
@@ -101,7 +114,7 @@
 	return qu.heads(now)
 }
 
-// Head returns the item that goes next in the service, or nil.
+// Head returns the preferred one of Heads, or nil if no item may be sent now.
 func (st *State) Head(now time.Time, service string) *Item {
 	heads := st.Heads(now, service)
 	if len(heads) == 0 {
@@ -110,15 +123,15 @@
 	return heads[0]
 }
 
-// Take removes an item that goes to a replica, and charges its organisation and class for it.
+// Take removes an item that is sent to a replica, and charges its class and lane for it.
 func (st *State) Take(it *Item) {
 	qu := st.queues[it.Service]
 	qu.charge(it)
 	qu.remove(it)
 }
 
-// Remove takes the item out of its service's queue without a charge, because its request ended. It reports whether
-// the item was there.
+// Remove removes an item whose request ended before it was sent, without charging for it. It reports whether the item was
+// in the service's queue.
 func (st *State) Remove(service string, id event.RequestID) bool {
 	qu, ok := st.queues[service]
 	if !ok {
@@ -133,7 +146,7 @@
 	return true
 }
 
-// Waiting returns how many items and tokens wait for the service.
+// Waiting returns the number of items that wait for the service, delayed ones included, and the sum of their tokens.
 func (st *State) Waiting(service string) (items int, tokens int64) {
 	qu, ok := st.queues[service]
 	if !ok {
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// drain takes everything that waits and returns the items in their order.
+// drain takes all items that may be sent now and returns them in the order of dispatch.
 func drain(st *admit.State, now time.Time) []*admit.Item {
 	var taken []*admit.Item
 	for it := st.Head(now, "lyric"); it != nil; it = st.Head(now, "lyric") {
@@ -41,16 +41,16 @@
 	return taken
 }
 
-func TestOrder(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	cases := map[string]struct {
 		discipline admit.Discipline
 		after      time.Duration
 		want       string
 	}{
-		"short prompts first":                     {admit.Priority{}, 0, "3 2 1"},
-		"a long prompt rises with age":            {admit.Priority{}, 50 * time.Second, "3 1 2"},
-		"first come first served":                 {admit.FirstCome{}, 0, "1 2 3"},
-		"classes share by weight, lightest first": {admit.Weighted{Weights: map[string]float64{"Huge": 1e6}}, 0, "1 2 3"},
+		"short prompts go first":                      {admit.Priority{}, 0, "3 2 1"},
+		"aged huge prompt goes before a large one":    {admit.Priority{}, 50 * time.Second, "3 1 2"},
+		"first come, first served":                    {admit.FirstCome{}, 0, "1 2 3"},
+		"weighted classes that have received nothing": {admit.Weighted{Weights: map[string]float64{"Huge": 1e6}}, 0, "1 2 3"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -71,9 +71,10 @@
 	}
 }
 
-func TestOneOrganisationsFloodDoesNotDelayAnother(t *testing.T) {
-	// An organisation has a hundred translations waiting when another's first one comes.
-	// The other goes next, and from then on they take turns by their weights.
+func TestBacklogOfOneOrganisationDoesNotDelayAnother(t *testing.T) {
+	// One organisation has a hundred requests waiting when the first one of another arrives. If requests went in the order
+	// of arrival, the second organisation would wait for all of them. It goes next instead, and from then on the two share
+	// the queue by their weights.
 	st := admit.New()
 	for id := range 100 {
 		st.Push(item(id, "flood", 0, 1000), 1, admit.Priority{})
@@ -93,9 +94,10 @@
 	assert.Equal(t, parish, 10, "two of three go to the organisation of weight 2")
 }
 
-func TestClassesOfOnePriorityTakeTurns(t *testing.T) {
-	// Two classes are declared with one priority. One has served a thousand prompts when the other's first ones come,
-	// whose share of nothing is still whole; both then go in the order of arrival.
+func TestClassesOfEqualPriorityGoInOrderOfArrival(t *testing.T) {
+	// Two classes have the same priority. One has served a thousand prompts when the first ones of the other arrive, so its
+	// start tags are far ahead. If the classes were compared by start tag, it would wait until the other has caught up.
+	// Both go in the order of arrival instead.
 	st := admit.New()
 	medium, large := classes[1], classes[2]
 	large.Priority = medium.Priority
@@ -117,9 +119,9 @@
 	}
 }
 
-func TestNoClassStarves(t *testing.T) {
-	// Medium prompts come faster than they go, so that there is always one waiting, and a whole file waits behind them.
-	// When half of its time is gone it goes before them.
+func TestLowPriorityClassIsNotStarved(t *testing.T) {
+	// Medium prompts arrive faster than they are taken, so that one is always waiting, and a huge prompt waits behind them.
+	// Without aging it would never be taken. It goes before them once half of its time to the deadline has passed.
 	st := admit.New()
 	st.Push(item(0, "parish", 4, 1000), 1, admit.Priority{})
 	now := start
@@ -139,11 +141,12 @@
 			}
 		}
 	}
-	t.Fatal("never went")
+	t.Fatal("the huge prompt was never taken")
 }
 
 func TestDelayedItemDoesNotBlockOthers(t *testing.T) {
-	// An engine refused a request and asked for a pause. What waits behind it goes on meanwhile.
+	// An engine refused a request and asked for a delay before the retry. The requests behind it must not wait for the
+	// delay.
 	st := admit.New()
 	delayed := item(1, "parish", 0, 1000)
 	delayed.NotBefore = start.Add(time.Second)
@@ -169,8 +172,9 @@
 	assert.Equal(t, short, 30)
 }
 
-func TestWaitIsEstimatedByShare(t *testing.T) {
-	// A flood's own next request would wait for the whole queue, another organisation's only for its turn.
+func TestWaitEstimateUsesFairShares(t *testing.T) {
+	// An organisation has a hundred requests waiting. Its next request would wait for all of them, that of another
+	// organisation in the same class for none, and that of another organisation in a lower class again for all.
 	st := admit.New()
 	for id := range 100 {
 		st.Push(item(id, "flood", 0, 1000), 1, admit.Priority{})
@@ -180,7 +184,7 @@
 	assert.Equal(t, st.Wait("lyric", "parish", classes[2], 1, 10), 10*time.Second)
 }
 
-func TestLimitsRefuseAndComeBack(t *testing.T) {
+func TestLimitsRefuseAndRecover(t *testing.T) {
 	cases := map[string]struct {
 		limits decl.Limits
 		passed time.Duration
@@ -205,9 +209,9 @@
 	}
 }
 
-// TestQueueConserves checks that whatever is pushed comes out once, by being taken or removed, under any discipline
-// and any order of calls, and that the sums of what waits stay right.
-func TestQueueConserves(t *testing.T) {
+// TestQueueReturnsEachItemOnce checks that each pushed item leaves the queue exactly once, taken or removed, under any
+// discipline and any order of calls, and that the number and the tokens of the waiting items stay correct.
+func TestQueueReturnsEachItemOnce(t *testing.T) {
 	disciplines := []admit.Discipline{admit.Priority{}, admit.FirstCome{}, admit.Weighted{Weights: map[string]float64{"Short": 4}}}
 	rapid.Check(t, func(t *rapid.T) {
 		st := admit.New()
@@ -216,7 +220,7 @@
 		next := 0
 		out := func(id event.RequestID) {
 			_, there := waiting[id]
-			assert.Assert(t, there, "%d came out twice", id)
+			assert.Assert(t, there, "%d left the queue twice", id)
 			delete(waiting, id)
 		}
 		t.Repeat(map[string]func(*rapid.T){
--- a/internal/admit/bench_test.go
+++ b/internal/admit/bench_test.go
@@ -13,51 +13,54 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// line is one queue before a few servers that each take one item at a time and are not preempted.
-type line struct {
+// simulation is a queue in front of several servers that each process one item at a time without preemption.
+type simulation struct {
 	st     *admit.State
 	disc   admit.Discipline
 	random *rand.Rand
 	now    time.Time
-	// free is when each server is free again.
-	free []time.Time
-	// waits holds the waits by class in seconds; missed counts items that ended after their deadline.
-	waits  map[string][]float64
+	// freeAt is when each server becomes free.
+	freeAt []time.Time
+	// waits holds the waiting times in seconds by class.
+	waits map[string][]float64
+	// missed counts the items that ended after their deadline, by class.
 	missed map[string]int
-	// refuse turns away at once what cannot end in time; offered counts all that came.
-	refuse  bool
+	// refuseLate refuses items on arrival that are not expected to end by their deadline.
+	refuseLate bool
+	// offered counts the items that arrived, refused ones included, by class.
 	offered map[string]int
 }
 
 const (
-	lineServers = 8
-	// lineRate is what one server does in tokens a second.
-	lineRate  = 20_000
-	lineItems = 40_000
+	simServers = 8
+	// simTokensPerSecond is the speed of one server.
+	simTokensPerSecond = 20_000
+	simItems           = 40_000
 )
 
-// length is log-uniform from a thousand to a hundred thousand tokens: longer prompts go by permit, not by this queue.
-func (ln *line) length() int64 {
-	return int64(1000 * math.Pow(100, ln.random.Float64()))
+// promptLength returns a length in tokens, log-uniform from 1,000 to 100,000. Longer prompts are admitted by permit and do
+// not pass this queue.
+func (sim *simulation) promptLength() int64 {
+	return int64(1000 * math.Pow(100, sim.random.Float64()))
 }
 
-// run offers items at the load, 1 for as much as the servers can do.
-func (ln *line) run(load float64) {
-	mean := 99_000 / math.Log(100) / lineRate
-	gap := mean / (load * lineServers)
-	for id := range lineItems {
-		arrived := ln.now.Add(time.Duration(ln.random.ExpFloat64() * gap * float64(time.Second)))
-		ln.serve(arrived)
-		ln.now = arrived
-		tokens := ln.length()
+// run offers simItems items at the load, a fraction of the capacity of all servers.
+func (sim *simulation) run(load float64) {
+	mean := 99_000 / math.Log(100) / simTokensPerSecond
+	gap := mean / (load * simServers)
+	for id := range simItems {
+		arrived := sim.now.Add(time.Duration(sim.random.ExpFloat64() * gap * float64(time.Second)))
+		sim.serve(arrived)
+		sim.now = arrived
+		tokens := sim.promptLength()
 		class, _ := (&decl.Config{}).ClassOf(tokens)
-		organisation := fmt.Sprint(ln.random.IntN(10))
-		work := time.Duration(tokens) * time.Second / lineRate
-		ln.offered[class.Name]++
-		if ln.refuse && ln.st.Wait("lyric", organisation, class, 1, lineServers)+work > time.Minute {
+		organisation := fmt.Sprint(sim.random.IntN(10))
+		work := time.Duration(tokens) * time.Second / simTokensPerSecond
+		sim.offered[class.Name]++
+		if sim.refuseLate && sim.st.Wait("lyric", organisation, class, 1, simServers)+work > time.Minute {
 			continue
 		}
-		ln.st.Push(admit.Item{
+		sim.st.Push(admit.Item{
 			ID:           event.RequestID(id),
 			Organisation: organisation,
 			Service:      "lyric",
@@ -66,48 +69,49 @@
 			Work:         work,
 			Arrived:      arrived,
 			Deadline:     arrived.Add(time.Minute),
-		}, 1, ln.disc)
+		}, 1, sim.disc)
 	}
-	ln.serve(ln.now.Add(time.Hour))
+	sim.serve(sim.now.Add(time.Hour))
 }
 
-// serve lets the servers take what waits until the time.
-func (ln *line) serve(until time.Time) {
+// serve lets the servers take waiting items until the time.
+func (sim *simulation) serve(until time.Time) {
 	for {
 		first := 0
-		for i, at := range ln.free {
-			if at.Before(ln.free[first]) {
+		for i, at := range sim.freeAt {
+			if at.Before(sim.freeAt[first]) {
 				first = i
 			}
 		}
-		at := ln.free[first]
-		if at.Before(ln.now) {
-			at = ln.now
+		at := sim.freeAt[first]
+		if at.Before(sim.now) {
+			at = sim.now
 		}
 		if at.After(until) {
 			return
 		}
-		it := ln.st.Head(at, "lyric")
-		ln.st.Blocked(at, "lyric")
+		it := sim.st.Head(at, "lyric")
+		sim.st.Blocked(at, "lyric")
 		if it == nil {
 			return
 		}
-		ln.st.Take(it)
-		ln.free[first] = at.Add(it.Work)
-		if ln.refuse && at.Add(it.Work).After(it.Deadline) {
-			// Given up on, as the reducer does when its latest start has passed.
-			ln.free[first] = at
+		sim.st.Take(it)
+		sim.freeAt[first] = at.Add(it.Work)
+		if sim.refuseLate && at.Add(it.Work).After(it.Deadline) {
+			// The item is dropped, as the reducer does once the latest possible start has passed.
+			sim.freeAt[first] = at
 			continue
 		}
-		ln.waits[it.Class.Name] = append(ln.waits[it.Class.Name], at.Sub(it.Arrived).Seconds())
-		if ln.free[first].After(it.Deadline) {
-			ln.missed[it.Class.Name]++
+		sim.waits[it.Class.Name] = append(sim.waits[it.Class.Name], at.Sub(it.Arrived).Seconds())
+		if sim.freeAt[first].After(it.Deadline) {
+			sim.missed[it.Class.Name]++
 		}
 	}
 }
 
-// BenchmarkDisciplines compares the orders of one queue on the same load: the 95th percentile of the wait by class,
-// and how many in a hundred of those offered end in time. All but the first-come order refuse what cannot.
+// BenchmarkDisciplines compares the queueing disciplines under the same load. It reports, by class, the 95th percentile of
+// the wait and the percentage of the offered items that end by their deadline. All but first-come refuse items that are not
+// expected to end in time.
 func BenchmarkDisciplines(b *testing.B) {
 	disciplines := map[string]admit.Discipline{
 		"first-come":      admit.FirstCome{},
@@ -121,18 +125,18 @@
 		for name, disc := range disciplines {
 			b.Run(fmt.Sprintf("load=%g/%s", load, name), func(b *testing.B) {
 				for b.Loop() {
-					ln := &line{
+					sim := &simulation{
 						st: admit.New(), disc: disc, random: rand.New(rand.NewPCG(1, 1)), now: start,
-						free: make([]time.Time, lineServers), waits: map[string][]float64{}, missed: map[string]int{},
-						offered: map[string]int{}, refuse: name != "first-come",
+						freeAt: make([]time.Time, simServers), waits: map[string][]float64{}, missed: map[string]int{},
+						offered: map[string]int{}, refuseLate: name != "first-come",
 					}
-					ln.run(load)
+					sim.run(load)
 					for _, class := range classes[:3] {
-						waits := ln.waits[class.Name]
+						waits := sim.waits[class.Name]
 						slices.Sort(waits)
 						b.ReportMetric(1000*waits[len(waits)*95/100], class.Name+"-p95-ms")
-						inTime := len(waits) - ln.missed[class.Name]
-						b.ReportMetric(100*float64(inTime)/float64(ln.offered[class.Name]), class.Name+"-in-time-%")
+						inTime := len(waits) - sim.missed[class.Name]
+						b.ReportMetric(100*float64(inTime)/float64(sim.offered[class.Name]), class.Name+"-in-time-%")
 					}
 				}
 			})
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -9,66 +9,80 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// Ageing under Priority. An item is old when ageAfter of its time is gone. Old items go right behind the highest class,
-// by deadline, with up to oldShare of the work; beyond it they go first within their own class. Without the bound, under
-// overload everything that waits is old, and the old long prompts would make all others wait as long as they.
+// Aging under Priority. Aged items are ordered by deadline and placed right behind the highest class while they take no more
+// than maxAgedShare of the tokens; above that they are only placed first within their own class. Without this bound,
+// everything that waits under overload is aged, and the aged long prompts make all others wait as long as they do.
 const (
-	ageAfter = 0.5
-	oldShare = 0.2
-	// shareMemory is how many tokens taken the share is reckoned over.
-	shareMemory = 4_000_000
+	// agedAfterFraction is the fraction of the time from arrival to deadline after which an item is aged.
+	agedAfterFraction = 0.5
+	// maxAgedShare is the share of the tokens taken up to which aged items are placed right behind the highest class.
+	maxAgedShare = 0.2
+	// agedShareWindow is the number of tokens over which the share of aged items is averaged.
+	agedShareWindow = 4_000_000
 )
 
-// maxFlows is how many flows are kept before the empty ones are forgotten.
+// maxFlows is the number of flows from which on adding another one first removes the idle ones.
 const maxFlows = 4096
 
-// queue holds the waiting items of one service. All operations cost O(log items).
+// queue holds the waiting items of one service. Adding or removing an item costs O(log items).
 type queue struct {
 	discipline Discipline
 	items      map[event.RequestID]*Item
-	tokens     int64
-	// lanes holds the items that may go now: one lane for each class, or one for all.
+	// tokens is the sum of the tokens of items.
+	tokens int64
+	// lanes holds the items that are neither delayed nor aged, by descending priority: one lane for each class, or one for
+	// all under FirstCome.
 	lanes []*lane
-	// old holds the items that are old, by deadline. ages orders the others by when they will be, delays those kept
-	// back by the end of that.
-	old, ages, delays itemHeap
-	// taken counts the tokens taken lately, and takenOld those of old items.
-	taken, takenOld float64
+	// aged holds the aged items by deadline.
+	aged itemHeap
+	// aging holds the items of the lanes that can still become aged, by the time at which they do.
+	aging itemHeap
+	// delayed holds the items that may not be sent yet, by NotBefore.
+	delayed itemHeap
+	// takenTokens is the sum of the tokens taken, decayed over agedShareWindow.
+	takenTokens float64
+	// takenAgedTokens is the part of takenTokens that aged items took.
+	takenAgedTokens float64
 	classes         map[string]*class
 	flows           map[flowKey]*flow
-	// virtual is the start tag of the lane served last, under Weighted.
-	virtual float64
-	next    []*Item
+	// virtualTime is the start tag of the lane served last, under Weighted.
+	virtualTime float64
+	// headBuffer is the slice that heads returns.
+	headBuffer []*Item
 }
 
-// lane is a heap of items that are ordered among themselves by their organisations' fair shares.
+// lane is a heap of items that go in the order of their organisations' fair shares, or of arrival under FirstCome.
 type lane struct {
 	priority int
 	class    string
-	// weight and tag are the lane's share and how much of it was used, under Weighted.
+	// weight is the lane's weight under Weighted.
 	weight float64
-	tag    float64
-	heap   itemHeap
+	// startTag grows by the tokens taken divided by weight. Under Weighted the lane with the lowest one goes next.
+	startTag float64
+	heap     itemHeap
 }
 
-// class is what waits of one length class.
+// class holds the sums over the waiting items of one length class.
 type class struct {
 	priority int
-	// virtual is the start tag of the item taken last.
-	virtual float64
-	work    time.Duration
-	items   int
-	drain   drain
-	// weights adds up the weights of the organisations that wait.
+	// virtualTime is the highest start tag of the items taken.
+	virtualTime float64
+	// work is the sum of the work of the waiting items.
+	work time.Duration
+	// items is the number of waiting items.
+	items int
+	drain drainRate
+	// weights is the sum of the weights of the organisations that have waiting items.
 	weights float64
 }
 
 type flowKey struct{ organisation, class string }
 
-// flow is what waits of one organisation in one class.
+// flow holds the sums over the waiting items of one organisation in one class.
 type flow struct {
-	// last is the virtual time at which its share ends all that it sent.
-	last   float64
+	// finishTag is the virtual time at which the organisation's fair share has served all items that it queued.
+	finishTag float64
+	// weight is the organisation's weight when the flow last became non-empty.
 	weight float64
 	items  int
 	work   time.Duration
@@ -81,50 +95,50 @@
 		classes:    map[string]*class{},
 		flows:      map[flowKey]*flow{},
 	}
-	qu.old = itemHeap{less: func(one, two *Item) bool { return one.Deadline.Before(two.Deadline) }, place: func(it *Item) *int { return &it.place }}
-	qu.ages = itemHeap{less: func(one, two *Item) bool { return one.ages.Before(two.ages) }, place: func(it *Item) *int { return &it.aging }}
-	qu.delays = itemHeap{less: func(one, two *Item) bool { return one.NotBefore.Before(two.NotBefore) }, place: func(it *Item) *int { return &it.delay }}
+	qu.aged = itemHeap{less: func(a, b *Item) bool { return a.Deadline.Before(b.Deadline) }, index: func(it *Item) *int { return &it.orderIndex }}
+	qu.aging = itemHeap{less: func(a, b *Item) bool { return a.agesAt.Before(b.agesAt) }, index: func(it *Item) *int { return &it.agingIndex }}
+	qu.delayed = itemHeap{less: func(a, b *Item) bool { return a.NotBefore.Before(b.NotBefore) }, index: func(it *Item) *int { return &it.delayIndex }}
 	return qu
 }
 
-// use switches to the discipline; waiting items are put in its order.
-func (qu *queue) use(disc Discipline) {
+// setDiscipline switches to the discipline and reorders the waiting items.
+func (qu *queue) setDiscipline(disc Discipline) {
 	if sameDiscipline(qu.discipline, disc) {
 		return
 	}
 	qu.discipline = disc
 	qu.lanes = nil
-	qu.old.items = nil
+	qu.aged.items = nil
 	for _, it := range qu.items {
-		if it.delay < 0 {
-			qu.leaveAges(it)
-			it.old = false
-			qu.enter(it)
+		if it.delayIndex < 0 {
+			qu.stopAging(it)
+			it.aged = false
+			qu.enqueue(it)
 		}
 	}
 }
 
-func sameDiscipline(one, two Discipline) bool {
-	switch one := one.(type) {
+func sameDiscipline(a, b Discipline) bool {
+	switch a := a.(type) {
 	case Weighted:
-		other, ok := two.(Weighted)
-		return ok && sameWeights(one.Weights, other.Weights)
+		other, ok := b.(Weighted)
+		return ok && sameWeights(a.Weights, other.Weights)
 	case Priority:
-		_, ok := two.(Priority)
+		_, ok := b.(Priority)
 		return ok
 	case FirstCome:
-		_, ok := two.(FirstCome)
+		_, ok := b.(FirstCome)
 		return ok
 	}
 	return false
 }
 
-func sameWeights(one, two map[string]float64) bool {
-	if len(one) != len(two) {
+func sameWeights(a, b map[string]float64) bool {
+	if len(a) != len(b) {
 		return false
 	}
-	for name, weight := range one {
-		if two[name] != weight {
+	for name, weight := range a {
+		if b[name] != weight {
 			return false
 		}
 	}
@@ -132,19 +146,19 @@
 }
 
 func (qu *queue) push(it *Item) {
-	it.place, it.aging, it.delay = -1, -1, -1
+	it.orderIndex, it.agingIndex, it.delayIndex = -1, -1, -1
 	qu.items[it.ID] = it
 	qu.tokens += it.Tokens
-	qu.join(it)
+	qu.addToFlow(it)
 	if !it.NotBefore.IsZero() {
-		qu.delays.push(it)
+		qu.delayed.push(it)
 		return
 	}
-	qu.enter(it)
+	qu.enqueue(it)
 }
 
-// join gives the item its place in its organisation's share.
-func (qu *queue) join(it *Item) {
+// addToFlow adds the item to its class and flow and sets its start tag.
+func (qu *queue) addToFlow(it *Item) {
 	cl, ok := qu.classes[it.Class.Name]
 	if !ok {
 		cl = &class{}
@@ -156,7 +170,7 @@
 	key := flowKey{it.Organisation, it.Class.Name}
 	fl, ok := qu.flows[key]
 	if !ok {
-		qu.forgetFlows()
+		qu.dropIdleFlows()
 		fl = &flow{}
 		qu.flows[key] = fl
 	}
@@ -166,49 +180,53 @@
 	}
 	fl.items++
 	fl.work += it.Work
-	it.start = max(cl.virtual, fl.last)
-	fl.last = it.start + float64(it.Tokens)/it.weight
+	it.startTag = max(cl.virtualTime, fl.finishTag)
+	fl.finishTag = it.startTag + float64(it.Tokens)/it.weight
 }
 
-func (qu *queue) forgetFlows() {
+// dropIdleFlows removes the empty flows once there are maxFlows flows. It keeps those whose finish tag is ahead of the
+// class's virtual time: they still record service that the organisation has received.
+func (qu *queue) dropIdleFlows() {
 	if len(qu.flows) < maxFlows {
 		return
 	}
 	for key, fl := range qu.flows {
-		if fl.items == 0 && fl.last <= qu.classes[key.class].virtual {
+		if fl.items == 0 && fl.finishTag <= qu.classes[key.class].virtualTime {
 			delete(qu.flows, key)
 		}
 	}
 }
 
-// enter puts the item into its lane.
-func (qu *queue) enter(it *Item) {
-	it.lane = qu.laneOf(it)
+// enqueue adds an item that may be sent to its lane.
+func (qu *queue) enqueue(it *Item) {
+	it.lane = qu.laneFor(it)
 	it.lane.heap.push(it)
-	if _, ok := qu.discipline.(Priority); ok && it.aging < 0 {
+	if _, ok := qu.discipline.(Priority); ok && it.agingIndex < 0 {
 		qu.startAging(it)
 	}
 }
 
+// startAging schedules the time at which the item becomes aged. An item whose deadline is not after its arrival never does.
 func (qu *queue) startAging(it *Item) {
 	total := it.Deadline.Sub(it.Arrived)
 	if total <= 0 {
 		return
 	}
-	it.ages = it.Arrived.Add(time.Duration(ageAfter * float64(total)))
-	qu.ages.push(it)
+	it.agesAt = it.Arrived.Add(time.Duration(agedAfterFraction * float64(total)))
+	qu.aging.push(it)
 }
 
-// grow makes an item old.
-func (qu *queue) grow(it *Item) {
-	qu.ages.remove(it)
+// markAged moves an item from its lane to the aged heap.
+func (qu *queue) markAged(it *Item) {
+	qu.aging.remove(it)
 	it.lane.heap.remove(it)
 	it.lane = nil
-	it.old = true
-	qu.old.push(it)
+	it.aged = true
+	qu.aged.push(it)
 }
 
-func (qu *queue) laneOf(it *Item) *lane {
+// laneFor returns the lane of the item under the present discipline, and creates it if there is none.
+func (qu *queue) laneFor(it *Item) *lane {
 	want := lane{weight: 1}
 	switch disc := qu.discipline.(type) {
 	case Priority:
@@ -221,109 +239,115 @@
 	}
 	for _, ln := range qu.lanes {
 		if ln.priority == want.priority && ln.class == want.class {
-			qu.reopen(ln)
+			qu.advanceIdleTag(ln)
 			return ln
 		}
 	}
 	ln := &want
-	ln.heap = itemHeap{less: qu.order(), place: func(it *Item) *int { return &it.place }}
-	ln.tag = qu.virtual
+	ln.heap = itemHeap{less: qu.itemOrder(), index: func(it *Item) *int { return &it.orderIndex }}
+	ln.startTag = qu.virtualTime
 	qu.lanes = append(qu.lanes, ln)
-	slices.SortFunc(qu.lanes, func(one, two *lane) int { return cmp.Compare(two.priority, one.priority) })
+	slices.SortFunc(qu.lanes, func(a, b *lane) int { return cmp.Compare(b.priority, a.priority) })
 	return ln
 }
 
-// reopen keeps an empty lane from saving up the share that it did not use.
-func (qu *queue) reopen(ln *lane) {
+// advanceIdleTag raises the start tag of an empty lane to the present virtual time. Otherwise an idle lane would save up its
+// unused share and then hold up the others.
+func (qu *queue) advanceIdleTag(ln *lane) {
 	if len(ln.heap.items) == 0 {
-		ln.tag = max(ln.tag, qu.virtual)
+		ln.startTag = max(ln.startTag, qu.virtualTime)
 	}
 }
 
-func (qu *queue) order() func(one, two *Item) bool {
+// itemOrder returns the order of the items within a lane.
+func (qu *queue) itemOrder() func(a, b *Item) bool {
 	if _, ok := qu.discipline.(FirstCome); ok {
-		return func(one, two *Item) bool { return one.ID < two.ID }
+		return func(a, b *Item) bool { return a.ID < b.ID }
 	}
-	return func(one, two *Item) bool {
-		if one.start != two.start {
-			return one.start < two.start
+	return func(a, b *Item) bool {
+		if a.startTag != b.startTag {
+			return a.startTag < b.startTag
 		}
-		return one.ID < two.ID
+		return a.ID < b.ID
 	}
 }
 
-// heads returns the first item of each lane in the order of preference.
+// heads returns the first item of each lane and the first aged item, in the order of preference, after it has moved the
+// items whose time has come out of delayed and aging.
 func (qu *queue) heads(now time.Time) []*Item {
-	for it := qu.delays.first(); it != nil && !now.Before(it.NotBefore); it = qu.delays.first() {
-		qu.delays.remove(it)
-		qu.enter(it)
+	for it := qu.delayed.first(); it != nil && !now.Before(it.NotBefore); it = qu.delayed.first() {
+		qu.delayed.remove(it)
+		qu.enqueue(it)
 	}
-	for it := qu.ages.first(); it != nil && !now.Before(it.ages); it = qu.ages.first() {
-		qu.grow(it)
+	for it := qu.aging.first(); it != nil && !now.Before(it.agesAt); it = qu.aging.first() {
+		qu.markAged(it)
 	}
-	qu.next = qu.next[:0]
+	qu.headBuffer = qu.headBuffer[:0]
 	for _, ln := range qu.lanes {
 		if it := ln.heap.first(); it != nil {
-			qu.next = append(qu.next, it)
+			qu.headBuffer = append(qu.headBuffer, it)
 		}
 	}
 	switch qu.discipline.(type) {
 	case Weighted:
-		slices.SortStableFunc(qu.next, func(one, two *Item) int { return cmp.Compare(one.lane.tag, two.lane.tag) })
+		slices.SortStableFunc(qu.headBuffer, func(a, b *Item) int { return cmp.Compare(a.lane.startTag, b.lane.startTag) })
 	case Priority:
-		// Classes of one priority go in the order of arrival: the shares within two classes cannot be compared, and the
-		// one that has served more would wait until the other has caught up.
-		slices.SortStableFunc(qu.next, func(one, two *Item) int {
-			return cmp.Or(cmp.Compare(two.Class.Priority, one.Class.Priority), one.Arrived.Compare(two.Arrived))
+		// Classes of equal priority go in the order of arrival. Start tags of different classes cannot be compared: the
+		// class that has served more would wait until the other one has caught up.
+		slices.SortStableFunc(qu.headBuffer, func(a, b *Item) int {
+			return cmp.Or(cmp.Compare(b.Class.Priority, a.Class.Priority), a.Arrived.Compare(b.Arrived))
 		})
 	}
-	if it := qu.old.first(); it != nil {
-		qu.next = slices.Insert(qu.next, qu.oldPlace(it), it)
+	if it := qu.aged.first(); it != nil {
+		qu.headBuffer = slices.Insert(qu.headBuffer, qu.agedPosition(it), it)
 	}
-	return qu.next
+	return qu.headBuffer
 }
 
-// oldPlace is the place of the first old item among the next ones, which are in the order of priority.
-func (qu *queue) oldPlace(old *Item) int {
-	may := qu.takenOld <= oldShare*qu.taken
-	for i, it := range qu.next {
-		if old.Class.Priority >= it.Class.Priority || (may && it.lane.priority < qu.lanes[0].priority) {
+// agedPosition returns the index at which the first aged item belongs among the heads, which are in the order of priority.
+func (qu *queue) agedPosition(aged *Item) int {
+	withinShare := qu.takenAgedTokens <= maxAgedShare*qu.takenTokens
+	for i, it := range qu.headBuffer {
+		if aged.Class.Priority >= it.Class.Priority || (withinShare && it.lane.priority < qu.lanes[0].priority) {
 			return i
 		}
 	}
-	return len(qu.next)
+	return len(qu.headBuffer)
 }
 
-// charge counts an item that goes against its class and lane.
+// charge accounts for an item that is sent in its class and lane.
 func (qu *queue) charge(it *Item) {
 	cl := qu.classes[it.Class.Name]
-	cl.virtual = max(cl.virtual, it.start)
+	cl.virtualTime = max(cl.virtualTime, it.startTag)
 	if it.lane != nil {
-		qu.virtual = max(qu.virtual, it.lane.tag)
-		it.lane.tag += float64(it.Tokens) / it.lane.weight
+		qu.virtualTime = max(qu.virtualTime, it.lane.startTag)
+		it.lane.startTag += float64(it.Tokens) / it.lane.weight
 	}
 	qu.countTaken(it)
 	cl.drain.work += it.Work
 }
 
+// countTaken updates the tokens taken and the part of aged items.
 func (qu *queue) countTaken(it *Item) {
 	tokens := float64(it.Tokens)
-	keep := max(0, 1-tokens/shareMemory)
-	qu.taken = qu.taken*keep + tokens
-	qu.takenOld *= keep
-	if it.old {
-		qu.takenOld += tokens
+	decay := max(0, 1-tokens/agedShareWindow)
+	qu.takenTokens = qu.takenTokens*decay + tokens
+	qu.takenAgedTokens *= decay
+	if it.aged {
+		qu.takenAgedTokens += tokens
 	}
 }
 
-// refund gives the share of an item that never went back to its organisation, if nothing was queued after it.
+// refund takes an item that was never sent off its flow's finish tag, unless the organisation has queued another item
+// behind it.
 func (qu *queue) refund(it *Item) {
 	fl := qu.flows[flowKey{it.Organisation, it.Class.Name}]
-	if fl.last == it.start+float64(it.Tokens)/it.weight {
-		fl.last = it.start
+	if fl.finishTag == it.startTag+float64(it.Tokens)/it.weight {
+		fl.finishTag = it.startTag
 	}
 }
 
+// remove removes the item from all heaps and sums.
 func (qu *queue) remove(it *Item) {
 	delete(qu.items, it.ID)
 	qu.tokens -= it.Tokens
@@ -337,29 +361,30 @@
 		cl.weights -= fl.weight
 	}
 	switch {
-	case it.old:
-		qu.old.remove(it)
+	case it.aged:
+		qu.aged.remove(it)
 	case it.lane != nil:
 		it.lane.heap.remove(it)
 		it.lane = nil
 	}
-	qu.leaveAges(it)
-	if it.delay >= 0 {
-		qu.delays.remove(it)
+	qu.stopAging(it)
+	if it.delayIndex >= 0 {
+		qu.delayed.remove(it)
 	}
 }
 
-func (qu *queue) leaveAges(it *Item) {
-	if it.aging >= 0 {
-		qu.ages.remove(it)
+func (qu *queue) stopAging(it *Item) {
+	if it.agingIndex >= 0 {
+		qu.aging.remove(it)
 	}
 }
 
-// itemHeap is a heap whose items know their places in it.
+// itemHeap is a heap whose items store their index, so that any of them can be removed.
 type itemHeap struct {
 	items []*Item
-	less  func(one, two *Item) bool
-	place func(it *Item) *int
+	less  func(a, b *Item) bool
+	// index returns the field of the item that stores its index in this heap.
+	index func(it *Item) *int
 }
 
 func (ih *itemHeap) first() *Item {
@@ -370,7 +395,7 @@
 }
 
 func (ih *itemHeap) push(it *Item)   { heap.Push(ih, it) }
-func (ih *itemHeap) remove(it *Item) { heap.Remove(ih, *ih.place(it)) }
+func (ih *itemHeap) remove(it *Item) { heap.Remove(ih, *ih.index(it)) }
 
 // Len implements heap.Interface.
 func (ih *itemHeap) Len() int { return len(ih.items) }
@@ -381,14 +406,14 @@
 // Swap implements heap.Interface.
 func (ih *itemHeap) Swap(i, j int) {
 	ih.items[i], ih.items[j] = ih.items[j], ih.items[i]
-	*ih.place(ih.items[i]) = i
-	*ih.place(ih.items[j]) = j
+	*ih.index(ih.items[i]) = i
+	*ih.index(ih.items[j]) = j
 }
 
 // Push implements heap.Interface.
 func (ih *itemHeap) Push(item any) {
 	it := item.(*Item)
-	*ih.place(it) = len(ih.items)
+	*ih.index(it) = len(ih.items)
 	ih.items = append(ih.items, it)
 }
 
@@ -398,6 +423,6 @@
 	it := ih.items[last]
 	ih.items[last] = nil
 	ih.items = ih.items[:last]
-	*ih.place(it) = -1
+	*ih.index(it) = -1
 	return it
 }
--- a/internal/admit/share.go
+++ b/internal/admit/share.go
@@ -10,36 +10,38 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Limits are declared for the whole fleet, and each instance enforces its part alone. The parts follow the demand: an
-// instance tells now and then which part of its limits an organisation asks for here, and one of the instances, the
-// same for all, adds up and answers with the parts. Nobody is asked for a request; who hears nothing uses an equal
-// part.
+// Limits are declared for the whole fleet, and each instance enforces its share of them alone. The shares follow the demand:
+// an instance periodically reports which part of an organisation's limits is requested from it. One instance, the same for
+// all reporters, divides the limits of an organisation in proportion to the reports and replies with the shares. Admitting a
+// request needs no other instance, and an instance that has received no share uses an equal one.
 const (
-	// minTellPeriod and tellPeriodStep make the telling rarer in a large fleet, so that the cost of an instance that
-	// shares out stays flat.
-	minTellPeriod  = time.Second
-	tellPeriodStep = 25 * time.Millisecond
-	// worthTelling is the part of its equal share that an organisation must ask for here.
-	worthTelling = 0.25
-	// equalPart is the part of a limit that stays split equally, so that an organisation that turns to another
-	// instance is not refused there until the next telling.
-	equalPart = 0.1
-	// shareLife is how many periods a share or a demand is good for.
-	shareLife = 3
+	// minDemandPeriod is the minimum time between two reports of demand.
+	minDemandPeriod = time.Second
+	// demandPeriodPerInstance lengthens the period in a large fleet, so that the cost of an instance that divides limits
+	// does not grow with the fleet.
+	demandPeriodPerInstance = 25 * time.Millisecond
+	// minReportedDemand is the demand, as a part of an equal share, at or below which an instance reports none.
+	minReportedDemand = 0.25
+	// equalFraction is the part of a limit that is always divided equally, so that an organisation that moves to another
+	// instance is not refused there until the next report.
+	equalFraction = 0.1
+	// shareTTLPeriods is the number of periods after which a share or a reported demand expires.
+	shareTTLPeriods = 3
 )
 
-// demand is what one organisation asks of one instance.
+// demand is the demand of one organisation at one instance, as last reported.
 type demand struct {
+	// part is the demand as a part of the organisation's limits over the whole fleet.
 	part float64
 	at   time.Time
 }
 
-// TellPeriod is the time between two tellings of demand.
+// TellPeriod returns the time between two reports of demand.
 func (st *State) TellPeriod() time.Duration {
-	return max(minTellPeriod, time.Duration(st.Instances)*tellPeriodStep)
+	return max(minDemandPeriod, time.Duration(st.Instances)*demandPeriodPerInstance)
 }
 
-// share returns the part of the organisation's limits that is this instance's.
+// share returns this instance's share of the organisation's limits: the allocated one, or an equal one if it has expired.
 func (st *State) share(now time.Time, acc *account) float64 {
 	if now.Before(acc.shareUntil) {
 		return acc.share
@@ -47,22 +49,24 @@
 	return 1 / float64(max(1, st.Instances))
 }
 
-// offer counts what is asked for, refused or not, and forgets the old over the period.
-func (acc *account) offer(now time.Time, tokens int64, period time.Duration) {
-	acc.forget(now, period)
+// recordOffered counts an offered request, refused or not.
+func (acc *account) recordOffered(now time.Time, tokens int64, period time.Duration) {
+	acc.decayOffered(now, period)
 	acc.offeredRequests++
 	acc.offeredTokens += float64(tokens)
 }
 
-func (acc *account) forget(now time.Time, period time.Duration) {
-	keep := math.Exp(-now.Sub(acc.offeredAt).Seconds() / period.Seconds())
-	acc.offeredRequests *= keep
-	acc.offeredTokens *= keep
+// decayOffered decays the offered counts up to now, with the period as the time constant.
+func (acc *account) decayOffered(now time.Time, period time.Duration) {
+	decay := math.Exp(-now.Sub(acc.offeredAt).Seconds() / period.Seconds())
+	acc.offeredRequests *= decay
+	acc.offeredTokens *= decay
 	acc.offeredAt = now
 }
 
-// part is the largest part of any of its limits that the organisation asks for here.
-func (acc *account) part(lim decl.Limits, period time.Duration) float64 {
+// demandedPart returns the demand at this instance as a part of the organisation's limits, for the limit where it is
+// largest.
+func (acc *account) demandedPart(lim decl.Limits, period time.Duration) float64 {
 	var part float64
 	if lim.RequestsPerSecond > 0 {
 		part = acc.offeredRequests / period.Seconds() / lim.RequestsPerSecond
@@ -71,80 +75,81 @@
 		part = max(part, acc.offeredTokens/period.Seconds()/lim.TokensPerSecond)
 	}
 	if lim.RequestsInFlight > 0 {
-		part = max(part, float64(acc.inFlight)/float64(lim.RequestsInFlight))
+		part = max(part, float64(acc.requestsInFlight)/float64(lim.RequestsInFlight))
 	}
 	if lim.TokensInFlight > 0 {
-		part = max(part, float64(acc.tokensIn)/float64(lim.TokensInFlight))
+		part = max(part, float64(acc.tokensInFlight)/float64(lim.TokensInFlight))
 	}
 	return part
 }
 
-// Demands returns the demands that are worth telling, in the order of the organisations' names.
+// Demands returns the demands that this instance has to report, in the order of the organisations' names.
 func (st *State) Demands(now time.Time, organisations map[string]decl.Organisation) []event.Demand {
 	var demands []event.Demand
-	least := worthTelling / float64(max(1, st.Instances))
+	minPart := minReportedDemand / float64(max(1, st.Instances))
 	for name, acc := range st.orgs {
 		lim := organisations[name].Limits
 		if lim == (decl.Limits{}) {
 			continue
 		}
-		acc.forget(now, st.TellPeriod())
-		if part := acc.part(lim, st.TellPeriod()); part > least {
+		acc.decayOffered(now, st.TellPeriod())
+		if part := acc.demandedPart(lim, st.TellPeriod()); part > minPart {
 			demands = append(demands, event.Demand{Organisation: name, Part: float32(part)})
 		}
 	}
-	slices.SortFunc(demands, func(one, two event.Demand) int { return cmp.Compare(one.Organisation, two.Organisation) })
+	slices.SortFunc(demands, func(a, b event.Demand) int { return cmp.Compare(a.Organisation, b.Organisation) })
 	return demands
 }
 
-// ShareOut takes an instance's demands and returns its parts of the limits.
+// ShareOut records the demands that an instance reports and returns its shares of the limits.
 func (st *State) ShareOut(now time.Time, from string, demands []event.Demand) []event.Share {
 	shares := make([]event.Share, 0, len(demands))
-	for _, told := range demands {
-		byInstance, ok := st.demands[told.Organisation]
+	for _, dem := range demands {
+		byInstance, ok := st.demands[dem.Organisation]
 		if !ok {
 			byInstance = map[string]demand{}
-			st.demands[told.Organisation] = byInstance
+			st.demands[dem.Organisation] = byInstance
 		}
-		byInstance[from] = demand{part: float64(told.Part), at: now}
-		shares = append(shares, event.Share{Organisation: told.Organisation, Part: float32(st.partOf(now, byInstance, from))})
+		byInstance[from] = demand{part: float64(dem.Part), at: now}
+		shares = append(shares, event.Share{Organisation: dem.Organisation, Part: float32(st.allocation(now, byInstance, from))})
 	}
 	return shares
 }
 
-func (st *State) partOf(now time.Time, byInstance map[string]demand, from string) float64 {
-	var all float64
+// allocation returns the share of one organisation's limits that the instance gets. It removes expired demands.
+func (st *State) allocation(now time.Time, byInstance map[string]demand, from string) float64 {
+	var total float64
 	for name, dem := range byInstance {
-		if now.Sub(dem.at) > shareLife*st.TellPeriod() {
+		if now.Sub(dem.at) > shareTTLPeriods*st.TellPeriod() {
 			delete(byInstance, name)
 			continue
 		}
-		all += dem.part
+		total += dem.part
 	}
 	equal := 1 / float64(max(1, st.Instances))
-	if all <= 0 {
+	if total <= 0 {
 		return equal
 	}
-	return equalPart*equal + (1-equalPart)*byInstance[from].part/all
+	return equalFraction*equal + (1-equalFraction)*byInstance[from].part/total
 }
 
-// TakeShares takes this instance's parts of limits.
+// TakeShares sets the shares of the limits that were allocated to this instance.
 func (st *State) TakeShares(now time.Time, shares []event.Share) {
-	for _, told := range shares {
-		acc, ok := st.orgs[told.Organisation]
-		if !ok || told.Part <= 0 {
+	for _, sh := range shares {
+		acc, ok := st.orgs[sh.Organisation]
+		if !ok || sh.Part <= 0 {
 			continue
 		}
-		acc.share = min(1, float64(told.Part))
-		acc.shareUntil = now.Add(shareLife * st.TellPeriod())
+		acc.share = min(1, float64(sh.Part))
+		acc.shareUntil = now.Add(shareTTLPeriods * st.TellPeriod())
 	}
 }
 
-// ForgetDemands drops organisations that nobody asks for any more.
+// ForgetDemands removes the expired demands and the organisations that have none left.
 func (st *State) ForgetDemands(now time.Time) {
 	for name, byInstance := range st.demands {
 		for from, dem := range byInstance {
-			if now.Sub(dem.at) > shareLife*st.TellPeriod() {
+			if now.Sub(dem.at) > shareTTLPeriods*st.TellPeriod() {
 				delete(byInstance, from)
 			}
 		}
--- a/internal/route/cost.go
+++ b/internal/route/cost.go
@@ -7,88 +7,95 @@
 )
 
 // The cost of sending a request to a replica is the estimated time to its first token, so that load, speed, cached
-// prefixes and distance can be weighed against each other.
+// prefixes and distance are comparable.
 const (
-	// farCost is how much later the first token may come in the own failure domain before another one is taken.
-	farCost = 50 * time.Millisecond
-	// behindShare is how much work that gives way still delays a request, since a batch is shared.
-	behindShare = 0.05
-	// batchCost is what a full batch adds, since decoding shares the steps with prefill.
-	batchCost = 50 * time.Millisecond
-	// plainCall is how long a call of a plain service is taken to last before one was seen.
-	plainCall = 10 * time.Millisecond
+	// crossDomainCost is added for a replica in another failure domain. A local replica is preferred as long as its first
+	// token comes at most this much later.
+	crossDomainCost = 50 * time.Millisecond
+	// lowerPriorityShare is the share of the queued prefill of lower priority that still delays a request, since they share
+	// a batch.
+	lowerPriorityShare = 0.05
+	// fullBatchCost is the delay that a full batch adds, since decoding and prefill share the engine's steps.
+	fullBatchCost = 50 * time.Millisecond
+	// minPlainCallTime is the least time that a call of a plain service is assumed to take, and the estimate before any call
+	// was measured.
+	minPlainCallTime = 10 * time.Millisecond
 )
 
-// cost is in seconds.
+// cost estimates the cost of sending the request to the replica, in seconds. The replica holds the first cached tokens of
+// the prompt.
 func (rep *Replica) cost(now time.Time, want *Want, cached int64) float64 {
 	var total float64
 	if rep.Upstream.FailureDomain != rep.pool.st.FailureDomain {
-		total += farCost.Seconds()
+		total += crossDomainCost.Seconds()
 	}
-	running := float64(rep.running(now))
+	running := float64(rep.estimatedRunning(now))
 	if rep.pool.service.Kind == decl.KindPlain {
-		return total + running*max(plainCall, rep.pool.Attempt).Seconds()*max(1, rep.Slowdown)
+		return total + running*max(minPlainCallTime, rep.pool.AttemptTime).Seconds()*max(1, rep.Slowdown)
 	}
-	before, behind := rep.ahead(now, want.Level)
-	work := float64(before) + behindShare*float64(behind) + float64(max(0, want.Prompt-cached))
+	before, behind := rep.prefillAhead(now, want.Level)
+	work := float64(before) + lowerPriorityShare*float64(behind) + float64(max(0, want.Prompt-cached))
 	total += work / rep.PrefillRate
-	most := float64(rep.pool.service.MaxRunning)
-	total += batchCost.Seconds() * running / most
-	if over := running + 1 - most; over > 0 {
-		total += rep.pool.Attempt.Seconds() * over / most
+	maxRunning := float64(rep.pool.service.MaxRunning)
+	total += fullBatchCost.Seconds() * running / maxRunning
+	if over := running + 1 - maxRunning; over > 0 {
+		total += rep.pool.AttemptTime.Seconds() * over / maxRunning
 	}
-	if memory := rep.memory(); memory > 0 {
-		over := rep.used(now) + want.Tokens() - memory
-		total += rep.pool.Attempt.Seconds() * float64(max(0, over)) / float64(memory)
+	if memory := rep.memoryTokens(); memory > 0 {
+		over := rep.estimatedTokens(now) + want.Tokens() - memory
+		total += rep.pool.AttemptTime.Seconds() * float64(max(0, over)) / float64(memory)
 	}
 	return total
 }
 
-// Holding back of longer prompts.
+// Headroom that longer prompts leave for classes of higher priority.
 const (
-	// headroomStep is the part of memory and batch that each class of higher priority keeps free from one below it.
+	// headroomStep is the share of memory and batch that a request leaves free for each higher priority.
 	headroomStep = 0.08
-	maxHeadroom  = 0.3
-	// maxBacklog is how much prefill may go before a longer prompt at a replica for it not to wait here instead.
+	// maxHeadroom is the maximum share that a request leaves free.
+	maxHeadroom = 0.3
+	// maxBacklog is the prefill time queued ahead of a longer prompt at a replica above which the prompt waits in this
+	// instance's queue instead.
 	maxBacklog = 200 * time.Millisecond
 )
 
-// fits tells whether the replica may take the request now. An idle replica takes any that fits its memory. Prompts of
-// the highest priority need only that: the engine takes them first. Others leave room for those above them, and wait
-// here, in our order, while the engine has prefill to do that goes before theirs.
-func (rep *Replica) fits(now time.Time, want *Want) bool {
+// hasRoom reports whether the replica may be sent the request now. An idle replica may be sent any request. Requests of the
+// highest priority only need free memory, since the engine schedules them first. The others leave headroom for the classes
+// above theirs, and a queued request of low priority also needs the allowance of drawSendAllowance. While the engine has
+// prefill work queued ahead of them, they wait in this instance's queue, where its discipline orders them.
+func (rep *Replica) hasRoom(now time.Time, want *Want) bool {
 	if rep.pool.service.Kind == decl.KindPlain {
 		return true
 	}
-	running := rep.running(now)
+	running := rep.estimatedRunning(now)
 	if running == 0 {
 		return true
 	}
-	keep := 1 - min(headroomStep*float64(want.Above), maxHeadroom)
-	if memory := rep.memory(); memory > 0 && float64(rep.used(now)+want.Tokens()) > keep*float64(memory) {
+	usable := 1 - min(headroomStep*float64(want.Above), maxHeadroom)
+	if memory := rep.memoryTokens(); memory > 0 && float64(rep.estimatedTokens(now)+want.Tokens()) > usable*float64(memory) {
 		return false
 	}
 	if want.Above == 0 {
 		return true
 	}
-	if want.Above >= carefulAbove && want.Queued && !rep.claimed && rep.fresh(now) {
+	if want.Above >= lowPriorityAbove && want.Queued && !rep.sendAllowed && rep.reportFresh(now) {
 		return false
 	}
-	if float64(running+1) > max(1, keep*float64(rep.pool.service.MaxRunning)) {
+	if float64(running+1) > max(1, usable*float64(rep.pool.service.MaxRunning)) {
 		return false
 	}
-	before, _ := rep.ahead(now, want.Level)
+	before, _ := rep.prefillAhead(now, want.Level)
 	return float64(before) <= maxBacklog.Seconds()*rep.PrefillRate
 }
 
-// claimFactor is how many of the instances, on average, may send what has waited to a replica on one report of it.
-const claimFactor = 1.5
+// sendersPerReport is the average number of instances that may send a longer queued prompt to a replica per load report.
+const sendersPerReport = 1.5
 
-// claim decides by chance whether this instance may send a longer prompt that has waited to the replica before its next
-// report. Under overload every instance has such prompts waiting for the same replica to get room, and would send one
-// on the report that shows it; the replica would then have many times the work it had room for, and most of them would
-// end by their deadline there instead of waiting here.
-func (rep *Replica) claim() {
+// drawSendAllowance decides at random whether this instance may send a longer queued prompt to the replica before the
+// replica's next report. Under overload all instances have such prompts queued. Without the draw, each of them would send
+// one when a report shows room at the replica. The replica would then have many times the work that it had room for, and
+// most of these prompts would reach their deadline there instead of waiting in the queue.
+func (rep *Replica) drawSendAllowance() {
 	st := rep.pool.st
-	rep.claimed = st.live == 1 || st.random.Float64() < claimFactor/float64(st.live)
+	rep.sendAllowed = st.instances == 1 || st.random.Float64() < sendersPerReport/float64(st.instances)
 }
--- a/internal/route/eject.go
+++ b/internal/route/eject.go
@@ -7,27 +7,28 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// Ejection of upstreams that keep failing or are far slower than the rest of their pool.
+// Ejection (outlier detection) of upstreams that keep failing or are far slower than the rest of their pool.
 const (
-	// failuresToEject is how many attempts in a row must fail.
+	// failuresToEject is the number of consecutive failed attempts that ejects an upstream.
 	failuresToEject = 3
-	// ejection is how long an upstream stays out; it doubles with each time in a row up to maxEjection.
-	ejection    = 2 * time.Second
+	// baseEjection is the duration of the first ejection. Each consecutive one is twice as long.
+	baseEjection = 2 * time.Second
+	// maxEjection is the maximum duration of an ejection.
 	maxEjection = time.Minute
-	// maxEjectedShare bounds the part of a service's replicas that may be out at once, so that a fault common to all
-	// never empties the pool. One whole failure domain may be out, see domainAway.
+	// maxEjectedShare is the maximum share of a service's replicas that may be ejected or on probation at once, so that a
+	// fault common to all of them never empties the pool. A whole failure domain may exceed it, see confinedToDomain.
 	maxEjectedShare = 0.34
-	// probesToReturn is how many requests, one at a time, must be answered before an upstream is back for good.
-	probesToReturn = 3
-	// slowFactor is how much slower than the median of its pool an upstream must be.
+	// probesToRecover is the number of requests, sent one at a time, that an upstream must answer to end its probation.
+	probesToRecover = 3
+	// slowFactor is the multiple of the median slowdown of its pool above which an upstream is ejected.
 	slowFactor = 3
-	// slowSamples is how many answers must show it.
-	slowSamples = 10
-	// slowPeriod is the time between two comparisons.
-	slowPeriod = time.Second
-	// minSlowPool is the smallest pool with a median to speak of.
+	// minSlowSamples is the minimum number of answers before an upstream's slowdown is compared.
+	minSlowSamples = 10
+	// slowCheckPeriod is the time between two comparisons.
+	slowCheckPeriod = time.Second
+	// minSlowPool is the smallest number of replicas whose median is meaningful.
 	minSlowPool = 3
-	// slowdownGain is how much of a new answer's time is taken over.
+	// slowdownGain is the weight of a new answer in the moving average of the slowdown.
 	slowdownGain = 0.15
 )
 
@@ -35,9 +36,10 @@
 	return st.now.Before(rep.EjectedUntil)
 }
 
-// failed counts a failure and reports whether the replica was ejected by it. What ends while the replica is out was sent
-// before: a replica that breaks off all its streams at once would be out for the longest time at the first offence.
-func (st *State) failed(rep *Replica) bool {
+// recordFailure counts a failed attempt and reports whether the replica was ejected for it. Attempts that end during an
+// ejection were sent before it and do not count. Otherwise a replica that breaks all its streams at once would get the
+// longest ejection for its first fault.
+func (st *State) recordFailure(rep *Replica) bool {
 	if st.ejected(rep) {
 		return false
 	}
@@ -48,10 +50,10 @@
 	return st.eject(rep)
 }
 
-// succeeded counts an answer; a replica on probation comes back after some of them. Answers that were under way at the
-// ejection are no probes: they would end the probation of a replica that is still out, which then no longer counts among
-// those that are, and one replica after another could follow until none is left.
-func (st *State) succeeded(rep *Replica) {
+// recordSuccess counts a complete answer and ends a replica's probation after probesToRecover of them. Attempts that were
+// in flight at the ejection are not probes. They would end the probation of a replica that is still ejected, which then
+// would no longer count towards maxEjectedShare, and one replica after another could be ejected until none is left.
+func (st *State) recordSuccess(rep *Replica) {
 	if st.ejected(rep) {
 		return
 	}
@@ -61,28 +63,28 @@
 		return
 	}
 	rep.Probes++
-	if rep.Probes < probesToReturn {
+	if rep.Probes < probesToRecover {
 		return
 	}
 	rep.Probing = false
-	st.out = slices.DeleteFunc(st.out, func(other *Replica) bool { return other == rep })
+	st.unhealthy = slices.DeleteFunc(st.unhealthy, func(other *Replica) bool { return other == rep })
 }
 
-// eject takes the replica out for a while, unless too many of its pool are out already.
+// eject ejects the replica, unless too many of its pool are ejected or on probation already. It reports whether it did.
 func (st *State) eject(rep *Replica) bool {
-	out := 1
-	for _, other := range st.out {
+	unhealthy := 1
+	for _, other := range st.unhealthy {
 		if other != rep && other.pool == rep.pool && other.live() {
-			out++
+			unhealthy++
 		}
 	}
-	if float64(out) > maxEjectedShare*float64(rep.pool.live) && !st.domainAway(rep) {
+	if float64(unhealthy) > maxEjectedShare*float64(rep.pool.liveReplicas) && !st.confinedToDomain(rep) {
 		return false
 	}
-	if !slices.Contains(st.out, rep) {
-		st.out = append(st.out, rep)
+	if !slices.Contains(st.unhealthy, rep) {
+		st.unhealthy = append(st.unhealthy, rep)
 	}
-	rep.EjectedUntil = st.now.Add(min(ejection<<rep.Ejections, maxEjection))
+	rep.EjectedUntil = st.now.Add(min(baseEjection<<rep.Ejections, maxEjection))
 	rep.Ejections = min(rep.Ejections+1, 6)
 	rep.Failures = 0
 	rep.Probing = true
@@ -91,11 +93,11 @@
 	return true
 }
 
-// domainAway tells that all that would be out of the pool is in the replica's failure domain, while another one has
-// replicas in use. A failure domain that is lost is more than the share of a pool in three, and every request sent to
-// what is left of it would wait for a silence.
-func (st *State) domainAway(rep *Replica) bool {
-	for _, other := range st.out {
+// confinedToDomain reports whether all replicas of the pool that are ejected or on probation are in the replica's failure
+// domain while another domain has live replicas. A lost failure domain can be more than maxEjectedShare of a pool that spans
+// three domains, and every request sent to the rest of it would wait until the silence of its replica is noticed.
+func (st *State) confinedToDomain(rep *Replica) bool {
+	for _, other := range st.unhealthy {
 		if other.pool == rep.pool && other.live() && other.Upstream.FailureDomain != rep.Upstream.FailureDomain {
 			return false
 		}
@@ -108,30 +110,32 @@
 	return false
 }
 
-// Tick lets ejections end and compares the replicas' speeds; it returns the names of those newly ejected as slow.
+// Tick ends ejections whose time has passed and, every slowCheckPeriod, compares the speeds of the replicas. It returns the
+// names of the upstreams that it ejected as slow.
 func (st *State) Tick(now time.Time) []string {
 	st.now = now
-	for _, rep := range st.out {
-		st.settle(rep)
+	for _, rep := range st.unhealthy {
+		st.updateOpenSet(rep)
 	}
-	if now.Before(st.nextSlow) {
+	if now.Before(st.nextSlowCheck) {
 		return nil
 	}
-	st.nextSlow = now.Add(slowPeriod)
+	st.nextSlowCheck = now.Add(slowCheckPeriod)
 	var slow []string
-	for _, service := range st.order {
+	for _, service := range st.serviceOrder {
 		slow = append(slow, st.ejectSlow(st.Services[service])...)
 	}
 	return slow
 }
 
+// ejectSlow ejects the replicas whose slowdown is more than slowFactor times the median, and returns their names.
 func (st *State) ejectSlow(reps []*Replica) []string {
 	if len(reps) < minSlowPool {
 		return nil
 	}
 	st.slowdowns = st.slowdowns[:0]
 	for _, rep := range reps {
-		if rep.Samples >= slowSamples && rep.live() {
+		if rep.Samples >= minSlowSamples && rep.live() {
 			st.slowdowns = append(st.slowdowns, rep.Slowdown)
 		}
 	}
@@ -142,16 +146,16 @@
 	bound := slowFactor * st.slowdowns[(len(st.slowdowns)-1)/2]
 	var slow []string
 	for _, rep := range reps {
-		if rep.Samples >= slowSamples && rep.live() && rep.Slowdown > bound && st.eject(rep) {
-			st.settle(rep)
+		if rep.Samples >= minSlowSamples && rep.live() && rep.Slowdown > bound && st.eject(rep) {
+			st.updateOpenSet(rep)
 			slow = append(slow, rep.Upstream.Name)
 		}
 	}
 	return slow
 }
 
-// failure tells whether a result speaks against the upstream.
-func failure(result event.Result) bool {
+// isUpstreamFailure reports whether the result counts as a failure of the upstream.
+func isUpstreamFailure(result event.Result) bool {
 	switch result {
 	case event.ResultNotSent, event.ResultFailed, event.ResultBroken, event.ResultSilent:
 		return true
--- a/internal/route/learn.go
+++ b/internal/route/learn.go
@@ -6,65 +6,69 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Learning a replica's prefill speed. What an answer's first token shows is a lower bound, since work of other
-// instances may have gone first; so the estimate follows a high quantile of what is seen: it goes up quickly, down
-// slowly, and a replica that has become slow is known after some thirty answers.
+// Estimation of a replica's prefill rate. The time to the first token gives only a lower bound, since work of other
+// instances may have been done first. The estimate therefore tracks a high quantile of the observations: it rises quickly
+// and falls slowly. It takes about thirty answers to detect a replica that has become slow.
 const (
-	rateUp   = 1.16
-	rateDown = 0.96
-	// maxRateFactor bounds how far the estimate may go from the declared speed.
+	// rateIncrease is the factor applied to the estimate when an observation is above it.
+	rateIncrease = 1.16
+	// rateDecrease is the factor applied to the estimate when an observation is not above it.
+	rateDecrease = 0.96
+	// maxRateFactor is the maximum ratio between the estimate and the declared rate, in both directions.
 	maxRateFactor = 30
-	// minPrompt is the shortest prefill that says something about speed.
-	minPrompt = 500
-	// overhead is the time to the first token that does not depend on the prompt.
-	overhead = 20 * time.Millisecond
+	// minRatePrompt is the shortest prefill, in tokens, that is used as an observation.
+	minRatePrompt = 500
+	// fixedOverhead is the part of the time to the first token that does not depend on the prompt.
+	fixedOverhead = 20 * time.Millisecond
 )
 
-// learnFirst takes the time to the first token of an attempt.
-func (rep *Replica) learnFirst(at attempt) {
-	if rep.pool.service.Kind == decl.KindPlain || at.prompt < minPrompt {
+// learnPrefillRate updates the prefill rate from an attempt that has received its first token.
+func (rep *Replica) learnPrefillRate(at attempt) {
+	if rep.pool.service.Kind == decl.KindPlain || at.prompt < minRatePrompt {
 		return
 	}
-	passed := at.answeredAt.Sub(at.at) - overhead
-	seen := float64(at.ahead) / max(passed, time.Millisecond).Seconds()
+	passed := at.firstTokenAt.Sub(at.sentAt) - fixedOverhead
+	seen := float64(at.workToFirstToken) / max(passed, time.Millisecond).Seconds()
 	declared := rep.pool.service.PrefillTokensPerSecond
 	if seen > rep.PrefillRate {
-		rep.PrefillRate = min(rep.PrefillRate*rateUp, declared*maxRateFactor)
+		rep.PrefillRate = min(rep.PrefillRate*rateIncrease, declared*maxRateFactor)
 	} else {
-		rep.PrefillRate = max(rep.PrefillRate*rateDown, declared/maxRateFactor)
+		rep.PrefillRate = max(rep.PrefillRate*rateDecrease, declared/maxRateFactor)
 	}
-	rep.pool.Prefill += speedGain * (rep.PrefillRate - rep.pool.Prefill)
+	rep.pool.PrefillRate += speedGain * (rep.PrefillRate - rep.pool.PrefillRate)
 }
 
-// learnWhole takes an attempt that was answered whole; tokens is the length of its answer.
-func (rep *Replica) learnWhole(now time.Time, at attempt, tokens int64) {
+// learnAnswer updates the estimates from an attempt whose answer is complete and has the given number of tokens.
+func (rep *Replica) learnAnswer(now time.Time, at attempt, tokens int64) {
 	pl := rep.pool
-	passed := now.Sub(at.at)
+	passed := now.Sub(at.sentAt)
 	if pl.samples == 0 {
-		pl.Attempt = passed
+		pl.AttemptTime = passed
 	}
 	pl.samples++
-	pl.Attempt += time.Duration(speedGain * float64(passed-pl.Attempt))
+	pl.AttemptTime += time.Duration(speedGain * float64(passed-pl.AttemptTime))
 	rep.learnSlowdown(passed, at, tokens)
-	if pl.service.Kind == decl.KindPlain || at.answeredAt.IsZero() || tokens < 2 {
+	if pl.service.Kind == decl.KindPlain || at.firstTokenAt.IsZero() || tokens < 2 {
 		return
 	}
 	pl.AnswerShare += speedGain * (float64(tokens)/float64(max(1, at.answer, tokens)) - pl.AnswerShare)
-	if decoding := now.Sub(at.answeredAt).Seconds(); decoding > 0 {
-		pl.Decode += speedGain * (float64(tokens-1)/decoding - pl.Decode)
+	if decoding := now.Sub(at.firstTokenAt).Seconds(); decoding > 0 {
+		pl.DecodeRate += speedGain * (float64(tokens-1)/decoding - pl.DecodeRate)
 	}
 }
 
-// learnStretch takes how long an attempt lasted until its answer was whole or its deadline ended it.
+// learnStretch updates the stretch of the attempt's level from the time until its answer was complete or its deadline
+// passed.
 func (rep *Replica) learnStretch(now time.Time, at attempt) {
-	idle := rep.pool.idleTime(at.prompt, at.answer) + overhead
-	rep.pool.stretches[at.level].add(now, float64(now.Sub(at.at))/float64(idle))
+	idle := rep.pool.idleTime(at.prompt, at.answer) + fixedOverhead
+	rep.pool.stretches[at.level].observe(now, float64(now.Sub(at.sentAt))/float64(idle))
 }
 
+// learnSlowdown updates the replica's ratio of the measured time of an answer to the time expected from the declared rates.
 func (rep *Replica) learnSlowdown(passed time.Duration, at attempt, tokens int64) {
-	expected := overhead
+	expected := fixedOverhead
 	if svc := rep.pool.service; svc.Kind != decl.KindPlain {
-		expected += seconds(float64(at.ahead)/svc.PrefillTokensPerSecond + float64(tokens)/svc.DecodeTokensPerSecond)
+		expected += seconds(float64(at.workToFirstToken)/svc.PrefillTokensPerSecond + float64(tokens)/svc.DecodeTokensPerSecond)
 	}
 	ratio := passed.Seconds() / expected.Seconds()
 	if rep.Samples == 0 {
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -8,24 +8,26 @@
 )
 
 const (
-	// choices is how many replicas of a failure domain are compared: two come close to the best of all without every
-	// instance running to the same one on reports that lag.
-	choices = 2
-	// carefulChoices is how many are compared for a class that has carefulAbove or more above it. Its prompts are few,
-	// so that the instances seldom choose at once, and a bad choice costs them seconds.
-	carefulChoices = 4
-	carefulAbove   = 2
-	// maxDraws bounds the replicas looked at to find them.
-	maxDraws = 16
+	// sampledReplicas is the number of random replicas of the local failure domain that are compared (power of two choices).
+	// Two come close to the best of all, and reports that lag do not make every instance pick the same replica.
+	sampledReplicas = 2
+	// sampledForLowPriority is the number of replicas compared in the local failure domain, and again outside of it, for a
+	// class with at least lowPriorityAbove higher priorities. Its prompts are few, so that instances seldom pick at the same
+	// time, and a bad pick costs them seconds.
+	sampledForLowPriority = 4
+	// lowPriorityAbove is the number of higher priorities from which on a class counts as one of low priority.
+	lowPriorityAbove = 2
+	// maxExamined is the maximum number of replicas examined to find the sample.
+	maxExamined = 16
 )
 
-// Pick returns a replica with room for the request, or nil. Sail takes the least estimated time to the first token
-// among two replicas of the own failure domain, one of another, and those that hold the prompt's longest known
-// prefix; the baselines take no notice of any of it.
+// Pick returns a replica with room for the request, or nil. Sail picks the replica with the lowest cost among a random
+// sample of the local failure domain, another one of the other domains, and the replicas that hold the longest known prefix
+// of the prompt. The baselines ignore cost, prefixes and failure domains.
 func (st *State) Pick(now time.Time, want *Want) *Replica {
 	st.now = now
 	pl, ok := st.pools[want.Service]
-	if !ok || len(pl.near.reps)+len(pl.far.reps) == 0 {
+	if !ok || len(pl.local.reps)+len(pl.remote.reps) == 0 {
 		return nil
 	}
 	if _, own := st.Policy.(Sail); !own {
@@ -34,44 +36,44 @@
 	known, depth := st.prefixes.longest(want.Prefixes)
 	st.candidates = st.candidates[:0]
 	for i := range known {
-		if rep := known[i].rep; rep.pool == pl && rep.place >= 0 && rep.takes(now, want) {
+		if rep := known[i].rep; rep.pool == pl && rep.openIndex >= 0 && rep.eligible(now, want) {
 			st.candidates = append(st.candidates, rep)
 		}
 	}
-	near, far := choices, max(1, choices-len(pl.near.reps))
-	if want.Above >= carefulAbove {
-		near, far = carefulChoices, carefulChoices
+	localCount, remoteCount := sampledReplicas, max(1, sampledReplicas-len(pl.local.reps))
+	if want.Above >= lowPriorityAbove {
+		localCount, remoteCount = sampledForLowPriority, sampledForLowPriority
 	}
-	st.draw(&pl.near, want, near)
-	st.draw(&pl.far, want, far)
+	st.sample(&pl.local, want, localCount)
+	st.sample(&pl.remote, want, remoteCount)
 	if len(st.candidates) == 0 {
-		return st.lastResort(pl, want)
+		return st.pickFallback(pl, want)
 	}
 	var best *Replica
-	var least float64
+	var lowest float64
 	for _, rep := range st.candidates {
-		cost := rep.cost(now, want, cachedAt(now, known, rep, depth))
-		if best == nil || cost < least {
-			best, least = rep, cost
+		cost := rep.cost(now, want, cachedTokens(now, known, rep, depth))
+		if best == nil || cost < lowest {
+			best, lowest = rep, cost
 		}
 	}
 	return best
 }
 
-// draw adds up to count replicas of the set that take the request, from a random place on.
-func (st *State) draw(set *openSet, want *Want, count int) {
+// sample adds up to count eligible replicas of the set to the candidates. It examines the set from a random replica on.
+func (st *State) sample(set *openSet, want *Want, count int) {
 	open := len(set.reps)
 	if open == 0 {
 		return
 	}
 	first := st.random.IntN(open)
 	step := 1
-	if open > maxDraws {
+	if open > maxExamined {
 		step = 1 + st.random.IntN(open-1)
 	}
-	for i := range min(open, maxDraws) {
+	for i := range min(open, maxExamined) {
 		rep := set.reps[(first+i*step)%open]
-		if !rep.takes(st.now, want) || slices.Contains(st.candidates, rep) {
+		if !rep.eligible(st.now, want) || slices.Contains(st.candidates, rep) {
 			continue
 		}
 		st.candidates = append(st.candidates, rep)
@@ -82,34 +84,35 @@
 	}
 }
 
-// takes tells whether an open replica is right for the request.
-func (rep *Replica) takes(now time.Time, want *Want) bool {
+// eligible reports whether an open replica may be sent the request.
+func (rep *Replica) eligible(now time.Time, want *Want) bool {
 	if rep.Probing && !want.Repeatable {
 		return false
 	}
-	return !slices.Contains(want.Tried, rep.Upstream.Name) && rep.serves(want.Model) && rep.fits(now, want)
+	return !slices.Contains(want.Tried, rep.Upstream.Name) && rep.offersModel(want.Model) && rep.hasRoom(now, want)
 }
 
-// serves tells whether the replica has the model loaded; one that reported nothing loaded nor loading may have it.
-func (rep *Replica) serves(model string) bool {
+// offersModel reports whether the replica has the model loaded. A replica that reported neither loaded nor loading models is
+// assumed to have it.
+func (rep *Replica) offersModel(model string) bool {
 	return model == "" || len(rep.Models)+len(rep.Loading) == 0 || upstr.Offers(rep.Models, model)
 }
 
-// lastResort takes a replica that failed the request before, or one on probation, when all others are closed: the one
-// whose failure is longest ago, so that a request does not return to a replica that has just died under it.
-func (st *State) lastResort(pl *pool, want *Want) *Replica {
+// pickFallback picks a replica that failed this request before, or one on probation, when no other replica is open. It picks
+// the one whose failure of the request is the earliest, so that the request does not return to a replica that has just died.
+func (st *State) pickFallback(pl *pool, want *Want) *Replica {
 	var best *Replica
-	for _, set := range []*openSet{&pl.near, &pl.far} {
+	for _, set := range []*openSet{&pl.local, &pl.remote} {
 		for _, rep := range set.reps {
-			if !rep.serves(want.Model) {
+			if !rep.offersModel(want.Model) {
 				continue
 			}
-			fits := rep.fits(st.now, want)
-			if !fits && !rep.Probing && lastTried(want, rep) < 0 {
-				// Another one is only full for the moment.
+			fits := rep.hasRoom(st.now, want)
+			if !fits && !rep.Probing && lastTriedIndex(want, rep) < 0 {
+				// This replica is only full for the moment, so the request waits for it.
 				return nil
 			}
-			if fits && (best == nil || lastTried(want, rep) < lastTried(want, best)) {
+			if fits && (best == nil || lastTriedIndex(want, rep) < lastTriedIndex(want, best)) {
 				best = rep
 			}
 		}
@@ -117,8 +120,8 @@
 	return best
 }
 
-// lastTried is the last place of the replica in the list of those to avoid, -1 if it is not there.
-func lastTried(want *Want, rep *Replica) int {
+// lastTriedIndex returns the last index of the replica in want.Tried, -1 if it is not there.
+func lastTriedIndex(want *Want, rep *Replica) int {
 	for i := len(want.Tried) - 1; i >= 0; i-- {
 		if want.Tried[i] == rep.Upstream.Name {
 			return i
@@ -127,10 +130,11 @@
 	return -1
 }
 
-func cachedAt(now time.Time, known []holder, rep *Replica, depth int64) int64 {
+// cachedTokens returns the part of depth, the tokens of the known prefix, that the replica is estimated to have cached.
+func cachedTokens(now time.Time, known []holder, rep *Replica, depth int64) int64 {
 	for i := range known {
 		if known[i].rep == rep {
-			return int64(known[i].belief(now) * float64(depth))
+			return int64(known[i].confidence(now) * float64(depth))
 		}
 	}
 	return 0
@@ -138,14 +142,14 @@
 
 func (st *State) pickBaseline(pl *pool, want *Want) *Replica {
 	if _, ok := st.Policy.(RoundRobin); ok {
-		return st.inTurn(want)
+		return st.pickRoundRobin(want)
 	}
-	st.candidates = append(append(st.candidates[:0], pl.near.reps...), pl.far.reps...)
+	st.candidates = append(append(st.candidates[:0], pl.local.reps...), pl.remote.reps...)
 	untried := slices.DeleteFunc(st.candidates, func(rep *Replica) bool {
 		return slices.Contains(want.Tried, rep.Upstream.Name)
 	})
 	if len(untried) == 0 {
-		untried = append(append(st.candidates[:0], pl.near.reps...), pl.far.reps...)
+		untried = append(append(st.candidates[:0], pl.local.reps...), pl.remote.reps...)
 	}
-	return st.leastRequests(untried)
+	return st.pickLeastRequests(untried)
 }
--- a/internal/route/policy.go
+++ b/internal/route/policy.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// Policy is how a replica is chosen among those with room.
+// Policy selects the load balancing algorithm.
 type Policy interface{ isPolicy() }
 
-// Sail is the project's own policy: least work ahead, near replicas first.
+// Sail is the default policy: it picks the replica with the lowest estimated time to the first token, see Pick.
 type Sail struct{}
 
-// RoundRobin takes the replicas of a service in turn. It is a baseline for comparison.
+// RoundRobin picks the replicas of a service in rotation. It is a baseline for comparison.
 type RoundRobin struct{}
 
-// LeastRequests takes the replica with the fewest requests of this instance in flight. It is a baseline for comparison.
+// LeastRequests picks the replica with the fewest requests of this instance in flight. It is a baseline for comparison.
 type LeastRequests struct{}
 
 func (Sail) isPolicy()          {}
 func (RoundRobin) isPolicy()    {}
 func (LeastRequests) isPolicy() {}
 
-// The names of the policies.
+// Names of the policies in the settings.
 const (
 	NameSail          = "dandelionsail"
 	NameRoundRobin    = "round-robin"
 	NameLeastRequests = "least-requests"
 )
 
-// ParsePolicy returns the policy of the name, and false if there is none.
+// ParsePolicy returns the policy with the name. It returns false if there is none.
 func ParsePolicy(name string) (Policy, bool) {
 	switch name {
 	case NameSail:
@@ -38,15 +38,16 @@
 	return nil, false
 }
 
-// inTurn returns the next open replica of the service after the one returned last.
-func (st *State) inTurn(want *Want) *Replica {
+// pickRoundRobin returns the next open replica of the service after the one returned last. One that failed the request
+// before is returned only if no other is open.
+func (st *State) pickRoundRobin(want *Want) *Replica {
 	reps := st.Services[want.Service]
 	var tried *Replica
 	for range reps {
-		st.turns[want.Service]++
-		rep := reps[st.turns[want.Service]%uint64(len(reps))]
+		st.roundRobinCounts[want.Service]++
+		rep := reps[st.roundRobinCounts[want.Service]%uint64(len(reps))]
 		switch {
-		case rep.place < 0:
+		case rep.openIndex < 0:
 		case slices.Contains(want.Tried, rep.Upstream.Name):
 			tried = rep
 		default:
@@ -56,8 +57,9 @@
 	return tried
 }
 
-// leastRequests returns the open replica with the fewest requests in flight, a random one of several.
-func (st *State) leastRequests(open []*Replica) *Replica {
+// pickLeastRequests returns the replica with the fewest requests in flight, starting the comparison at a random one, or nil
+// if open is empty.
+func (st *State) pickLeastRequests(open []*Replica) *Replica {
 	if len(open) == 0 {
 		return nil
 	}
--- a/internal/route/policy_test.go
+++ b/internal/route/policy_test.go
@@ -13,8 +13,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// pool returns the state of an instance in failure domain a with four replicas, two of them there.
-func pool(policy route.Policy) *route.State {
+// newState returns the state of an instance in failure domain a with two replicas there and two in failure domain b.
+func newState(policy route.Policy) *route.State {
 	st := route.New("a", 1)
 	st.Policy = policy
 	var listed event.UpstreamsListed
@@ -37,7 +37,7 @@
 	}
 	for name, policy := range cases {
 		t.Run(name, func(t *testing.T) {
-			st := pool(policy)
+			st := newState(policy)
 			for i := range 12 {
 				rep := st.Pick(start, &route.Want{ID: event.RequestID(i), Service: "lyric", Prompt: 100})
 				st.Sent(start, rep.Upstream.Name, &route.Want{ID: event.RequestID(i), Service: "lyric", Prompt: 100})
--- a/internal/route/prefix.go
+++ b/internal/route/prefix.go
@@ -7,44 +7,52 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// The prefix index remembers which replicas hold which leading blocks of prompts, from own dispatches and from the
-// engines' cache events. Events come late and with gaps, so what is known ages: a gap makes it uncertain, and what
-// nothing confirms is forgotten.
+// The prefix index records which replicas have which leading blocks of prompts in their cache. Its sources are the requests
+// that this instance sent and the engines' cache events. Events arrive late and with gaps, so entries expire: a gap makes
+// them uncertain, and those that no event confirms are dropped.
 const (
-	// maxPrefixes bounds the index; the oldest entries go first. At about 90 bytes an entry it stays under 12 MB.
+	// maxPrefixes is the maximum number of prefixes in the index; the oldest are evicted first. At about 90 bytes per entry
+	// the index stays under 12 MB.
 	maxPrefixes = 1 << 17
-	// maxHolders bounds the replicas known for one prefix.
+	// maxHolders is the maximum number of replicas recorded for one prefix.
 	maxHolders = 3
-	// hintLife is how long an own dispatch is believed without an event, if the engine sends none at all; with events
-	// it is believed for confirmTime.
-	hintLife    = time.Minute
-	confirmTime = 10 * time.Second
-	// uncertainLife is how long an entry is believed by half after a gap in the events.
-	uncertainLife = 30 * time.Second
-	// eventLag is how late a removal may be: one that comes this soon after a dispatch may be older than it.
-	eventLag = time.Second
+	// hintTTL is how long an unconfirmed entry is valid if the replica has sent no cache events at all.
+	hintTTL = time.Minute
+	// confirmTimeout is how long an unconfirmed entry is valid if the replica sends cache events.
+	confirmTimeout = 10 * time.Second
+	// uncertainTTL is how long a confirmed entry from before a gap in the events is still used, with confidenceUncertain.
+	uncertainTTL = 30 * time.Second
+	// maxEventLag is the maximum delay of a removal event. One that arrives sooner than this after a request was sent may be
+	// older than the request and is ignored.
+	maxEventLag = time.Second
 )
 
-// The shares of a prefix that are counted as cached.
+// Shares of a prefix that count as cached.
 const (
-	beliefConfirmed = 1
-	beliefHint      = 0.9
-	beliefUncertain = 0.5
+	// confidenceConfirmed is for an entry that a cache event confirmed.
+	confidenceConfirmed = 1
+	// confidenceHint is for an entry recorded when a request was sent.
+	confidenceHint = 0.9
+	// confidenceUncertain is for a confirmed entry from before a gap in the events.
+	confidenceUncertain = 0.5
 )
 
-// cacheView is what is known of one replica's cache as a whole.
-type cacheView struct {
-	// next is the sequence number that the next batch should begin with, 0 before the first.
-	next int64
-	// epoch counts how often the cache was lost.
+// cacheState tracks the sequence of a replica's cache events.
+type cacheState struct {
+	// nextSequence is the sequence number expected at the start of the next batch, 0 before the first batch.
+	nextSequence int64
+	// epoch counts how often the cache was cleared. Holders of an older epoch are invalid.
 	epoch uint32
-	// gapAt is when the last gap was seen.
+	// gapAt is when the last gap was detected.
 	gapAt time.Time
 }
 
+// holder records that a replica has a prefix in its cache.
 type holder struct {
-	rep       *Replica
-	epoch     uint32
+	rep *Replica
+	// epoch is the epoch of the replica's cache when the holder was recorded.
+	epoch uint32
+	// confirmed reports whether a cache event confirmed the holder.
 	confirmed bool
 	at        time.Time
 }
@@ -52,19 +60,22 @@
 // prefixIndex finds holders by prefix hash.
 type prefixIndex struct {
 	holders map[uint64][]holder
-	// ring holds the hashes in the order of entry; next is the oldest one's place once it is full.
+	// ring holds the hashes in the order of insertion.
 	ring []uint64
-	next int
+	// oldest is the index in ring of the oldest hash once ring is full.
+	oldest int
 }
 
 func newPrefixIndex() prefixIndex {
 	return prefixIndex{holders: map[uint64][]holder{}}
 }
 
+// add records a holder of the prefix. It keeps the confirmation of an entry for the same replica unless the cache was
+// cleared or a gap was detected since. The holder added first is replaced if there are maxHolders already.
 func (pi *prefixIndex) add(hash uint64, hd holder) {
 	known, ok := pi.holders[hash]
 	if !ok {
-		pi.enter(hash)
+		pi.insert(hash)
 	}
 	for i := range known {
 		if known[i].rep == hd.rep {
@@ -81,23 +92,26 @@
 	pi.holders[hash] = append(known, hd)
 }
 
-func (pi *prefixIndex) enter(hash uint64) {
+// insert adds a new hash to the ring and evicts the oldest one if the ring is full.
+func (pi *prefixIndex) insert(hash uint64) {
 	if len(pi.ring) < maxPrefixes {
 		pi.ring = append(pi.ring, hash)
 		return
 	}
-	delete(pi.holders, pi.ring[pi.next])
-	pi.ring[pi.next] = hash
-	pi.next = (pi.next + 1) % maxPrefixes
+	delete(pi.holders, pi.ring[pi.oldest])
+	pi.ring[pi.oldest] = hash
+	pi.oldest = (pi.oldest + 1) % maxPrefixes
 }
 
+// remove removes the replica from the holders of the prefix, unless the entry is a hint that is more recent than
+// maxEventLag.
 func (pi *prefixIndex) remove(now time.Time, hash uint64, rep *Replica) {
 	known := pi.holders[hash]
 	for i := range known {
 		if known[i].rep != rep {
 			continue
 		}
-		if known[i].confirmed || now.Sub(known[i].at) > eventLag {
+		if known[i].confirmed || now.Sub(known[i].at) > maxEventLag {
 			known[i].rep = nil
 			pi.holders[hash] = append(known[:i], known[i+1:]...)
 		}
@@ -105,85 +119,89 @@
 	}
 }
 
-// belief is how much of the prefix the replica is believed to hold, from 0 to 1.
-func (hd *holder) belief(now time.Time) float64 {
-	view := &hd.rep.cache
-	if hd.epoch != view.epoch {
+// confidence returns the share of the prefix that counts as cached at the replica, from 0 to 1.
+func (hd *holder) confidence(now time.Time) float64 {
+	cache := &hd.rep.cache
+	if hd.epoch != cache.epoch {
 		return 0
 	}
 	if !hd.confirmed {
-		life := hintLife
-		if view.next > 0 {
-			life = confirmTime
+		life := hintTTL
+		if cache.nextSequence > 0 {
+			life = confirmTimeout
 		}
 		if now.Sub(hd.at) < life {
-			return beliefHint
+			return confidenceHint
 		}
 		return 0
 	}
-	if !hd.at.Before(view.gapAt) {
-		return beliefConfirmed
+	if !hd.at.Before(cache.gapAt) {
+		return confidenceConfirmed
 	}
-	if now.Sub(view.gapAt) < uncertainLife {
-		return beliefUncertain
+	if now.Sub(cache.gapAt) < uncertainTTL {
+		return confidenceUncertain
 	}
 	return 0
 }
 
-// Not every block of a long prompt is remembered: all of the first fineBlocks, then every coarse one, so that the
-// longest prompt costs about a hundred entries.
+// Not every prefix of a long prompt is indexed, so that the longest prompt takes about a hundred entries.
 const (
-	fineBlocks   = 16
+	// denseBlocks is the number of blocks up to which each prefix is indexed.
+	denseBlocks = 16
+	// middleBlocks is the number of blocks up to which a prefix is indexed every middleStep blocks.
 	middleBlocks = 256
-	middleStep   = 16
-	coarseStep   = 64
+	// middleStep is the distance in blocks between the indexed prefixes from denseBlocks to middleBlocks.
+	middleStep = 16
+	// coarseStep is the distance in blocks between the indexed prefixes beyond middleBlocks.
+	coarseStep = 64
 )
 
-// rungs is how many prefixes of a prompt of that many blocks are remembered, the whole one not counted.
-func rungs(blocks int) int {
+// indexedCount returns the number of indexed prefixes of a prompt with that many blocks. The whole prompt, which addHint
+// also indexes, is not counted unless it lies on a step.
+func indexedCount(blocks int) int {
 	switch {
-	case blocks <= fineBlocks:
+	case blocks <= denseBlocks:
 		return blocks
 	case blocks <= middleBlocks:
-		return fineBlocks + (blocks-fineBlocks)/middleStep
+		return denseBlocks + (blocks-denseBlocks)/middleStep
 	default:
-		return fineBlocks + (middleBlocks-fineBlocks)/middleStep + (blocks-middleBlocks)/coarseStep
+		return denseBlocks + (middleBlocks-denseBlocks)/middleStep + (blocks-middleBlocks)/coarseStep
 	}
 }
 
-// rung returns the number of blocks of the prefix at the place, counted from 0.
-func rung(place int) int {
-	const middleRungs = fineBlocks + (middleBlocks-fineBlocks)/middleStep
+// indexedBlocks returns the number of blocks of the indexed prefix at the place, counted from 0.
+func indexedBlocks(place int) int {
+	const middleCount = denseBlocks + (middleBlocks-denseBlocks)/middleStep
 	switch {
-	case place < fineBlocks:
+	case place < denseBlocks:
 		return place + 1
-	case place < middleRungs:
-		return fineBlocks + (place-fineBlocks+1)*middleStep
+	case place < middleCount:
+		return denseBlocks + (place-denseBlocks+1)*middleStep
 	default:
-		return middleBlocks + (place-middleRungs+1)*coarseStep
+		return middleBlocks + (place-middleCount+1)*coarseStep
 	}
 }
 
-// hint notes that the replica was sent the prompt and will soon hold it.
-func (pi *prefixIndex) hint(now time.Time, rep *Replica, prefixes []uint64) {
+// addHint records that the replica was sent the prompt and will soon have it in its cache.
+func (pi *prefixIndex) addHint(now time.Time, rep *Replica, prefixes []uint64) {
 	hd := holder{rep: rep, epoch: rep.cache.epoch, at: now}
-	count := rungs(len(prefixes))
+	count := indexedCount(len(prefixes))
 	for place := range count {
-		pi.add(prefixes[rung(place)-1], hd)
+		pi.add(prefixes[indexedBlocks(place)-1], hd)
 	}
-	if count > 0 && rung(count-1) != len(prefixes) {
+	if count > 0 && indexedBlocks(count-1) != len(prefixes) {
 		pi.add(prefixes[len(prefixes)-1], hd)
 	}
 }
 
-// longest returns the holders of the longest known prefix and its length in tokens. A cache that holds a prefix holds
-// all shorter ones, so the search halves the range each time.
+// longest returns the holders of the longest indexed prefix of the prompt and its length in tokens. A cache that holds a
+// prefix holds all shorter ones, so it uses a binary search.
 func (pi *prefixIndex) longest(prefixes []uint64) ([]holder, int64) {
-	low, high := 0, rungs(len(prefixes))
+	low, high := 0, indexedCount(len(prefixes))
 	var best []holder
 	for low < high {
 		middle := (low + high) / 2
-		known := pi.holders[prefixes[rung(middle)-1]]
+		known := pi.holders[prefixes[indexedBlocks(middle)-1]]
 		if len(known) == 0 {
 			high = middle
 			continue
@@ -194,30 +212,30 @@
 	if low == 0 {
 		return nil, 0
 	}
-	return best, int64(rung(low-1)) * body.BlockTokens
+	return best, int64(indexedBlocks(low-1)) * body.BlockTokens
 }
 
-// CacheChanged takes a batch of an engine's cache events.
+// CacheChanged applies a batch of an engine's cache events to the index.
 func (st *State) CacheChanged(now time.Time, ev event.CacheChanged) {
 	rep, ok := st.Replicas[ev.Upstream]
 	if !ok {
 		return
 	}
-	view := &rep.cache
-	restarted := ev.First <= 1 && view.next > 1
+	cache := &rep.cache
+	restarted := ev.First <= 1 && cache.nextSequence > 1
 	switch {
 	case ev.Cleared || restarted:
-		view.epoch++
-	case view.next > 0 && ev.Last < view.next:
+		cache.epoch++
+	case cache.nextSequence > 0 && ev.Last < cache.nextSequence:
 		return
-	case view.next > 0 && ev.First > view.next:
-		view.gapAt = now
+	case cache.nextSequence > 0 && ev.First > cache.nextSequence:
+		cache.gapAt = now
 	}
-	view.next = ev.Last + 1
+	cache.nextSequence = ev.Last + 1
 	for _, hash := range ev.Removed {
 		st.prefixes.remove(now, hash, rep)
 	}
 	for _, hash := range ev.Added {
-		st.prefixes.add(hash, holder{rep: rep, epoch: view.epoch, confirmed: true, at: now})
+		st.prefixes.add(hash, holder{rep: rep, epoch: cache.epoch, confirmed: true, at: now})
 	}
 }
--- a/internal/route/replica.go
+++ b/internal/route/replica.go
@@ -6,77 +6,92 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// maxLevels bounds the priorities that work is counted by.
+// maxLevels is the maximum number of priority levels by which work is counted.
 const maxLevels = 8
 
-// staleReport is the age after which a load report says nothing about now.
-const staleReport = 5 * time.Second
+// maxReportAge is the age from which on a load report is not used.
+const maxReportAge = 5 * time.Second
 
-// Replica is what is known of one upstream.
+// Replica holds the state of one upstream.
 type Replica struct {
 	Upstream event.Upstream
-	// Gone tells that the platform lists it no longer; it is kept while attempts are under way there, and for
-	// goneMemory, so that a list that is late does not undo its leaving.
-	Gone   bool
+	// Gone reports whether the platform no longer lists the replica, or another one has its name. An unlisted replica is
+	// kept while attempts are in flight there, and for goneRetention, so that a stale list does not restore one that was
+	// leaving.
+	Gone bool
+	// goneAt is when the platform was first seen not to list the replica.
 	goneAt time.Time
-	// Running and Tokens are what this instance has in flight there.
+	// Running is the number of attempts that this instance has in flight at the replica.
 	Running int64
-	Tokens  int64
-	// Report is the last load report, measured at ReportAt.
-	Report   event.Load
+	// Tokens is the number of prompt and answer tokens of the attempts that this instance has in flight at the replica.
+	Tokens int64
+	// Report is the latest load report.
+	Report event.Load
+	// ReportAt is when the latest load report was measured, zero before the first.
 	ReportAt time.Time
 	Role     string
 	Models   []string
 	Loading  []string
-	// Window bounds Running; it follows the engine's refusals and reports.
-	Window   float64
-	narrowed time.Time
-	// claimed tells that this instance may send it what has waited; see claim.
-	claimed bool
-	// Failures counts attempts that failed in a row.
+	// Window limits Running. It adapts to the engine's refusals and reports.
+	Window float64
+	// shrunkAt is when a refusal last shrank the window.
+	shrunkAt time.Time
+	// sendAllowed reports whether this instance may send the replica a longer queued prompt, see drawSendAllowance.
+	sendAllowed bool
+	// Failures is the number of consecutive failed attempts.
 	Failures int
-	// Ejections counts how often in a row it was ejected; EjectedUntil is when the last one ends.
-	Ejections    int
+	// Ejections is the number of consecutive ejections, capped since the duration of an ejection is.
+	Ejections int
+	// EjectedUntil is when the last ejection ends.
 	EjectedUntil time.Time
-	// Probing tells that it was ejected and takes one request at a time until Probes of them were answered.
+	// Probing reports whether the replica was ejected and has not ended its probation, in which it is sent one request at a
+	// time.
 	Probing bool
-	Probes  int
-	// PrefillRate is its learnt speed in prompt tokens a second.
+	// Probes is the number of requests answered in the present probation.
+	Probes int
+	// PrefillRate is the estimated prefill rate in tokens per second.
 	PrefillRate float64
-	// Slowdown is the time its answers took against what the declared speeds promise, averaged over Samples.
+	// Slowdown is the moving average of the ratio of the time that answers took to the time expected from the declared
+	// rates.
 	Slowdown float64
-	Samples  int
+	// Samples is the number of answers in Slowdown since the last ejection.
+	Samples int
 
 	pool *pool
-	// attempts are those in flight, in the order of sending.
+	// attempts holds the attempts in flight in the order of sending.
 	attempts []attempt
-	// pending is the own prompt work not yet prefilled, by level.
-	pending [maxLevels]int64
-	// sentCount and sentTokens are the own attempts in flight that the last report cannot show.
-	sentCount  int64
-	sentTokens int64
-	// othersQueued is the reported prompt work that is not this instance's own.
-	othersQueued int64
-	// place is the position among the pool's open replicas, -1 outside.
-	place int
-	cache cacheView
+	// pendingPrefill holds the prompt tokens of this instance's attempts that are not yet prefilled, by level.
+	pendingPrefill [maxLevels]int64
+	// unreportedCount is the number of this instance's attempts in flight that were sent after the latest report.
+	unreportedCount int64
+	// unreportedTokens is the number of tokens of these attempts.
+	unreportedTokens int64
+	// otherQueuedTokens is the part of the reported queued tokens that is not this instance's.
+	otherQueuedTokens int64
+	// openIndex is the index in the open set, -1 if the replica is not open.
+	openIndex int
+	cache     cacheState
 }
 
 // attempt is one attempt in flight.
 type attempt struct {
 	id     event.RequestID
-	at     time.Time
+	sentAt time.Time
+	// tokens is the memory that the attempt needs: prompt and answer together.
 	tokens int64
+	// answer is the requested length of the answer in tokens.
 	answer int64
-	// prompt is the part of the prompt that the replica has to prefill.
+	// prompt is the number of prompt tokens that the replica has to prefill.
 	prompt int64
 	level  int
-	// ahead is the prompt work that had to be done before its first token, its own included.
-	ahead      int64
-	answeredAt time.Time
+	// workToFirstToken is the number of prompt tokens to prefill before the attempt's first token, its own included.
+	workToFirstToken int64
+	// firstTokenAt is when the first token arrived, zero before.
+	firstTokenAt time.Time
 }
 
-func (rep *Replica) find(id event.RequestID) int {
+// attemptIndex returns the index of the request's attempt, -1 if there is none in flight.
+func (rep *Replica) attemptIndex(id event.RequestID) int {
 	for i := range rep.attempts {
 		if rep.attempts[i].id == id {
 			return i
@@ -85,103 +100,107 @@
 	return -1
 }
 
-func (rep *Replica) start(at attempt) {
+func (rep *Replica) addAttempt(at attempt) {
 	rep.Running++
 	rep.Tokens += at.tokens
-	rep.pending[at.level] += at.prompt
-	rep.sentCount++
-	rep.sentTokens += at.tokens
+	rep.pendingPrefill[at.level] += at.prompt
+	rep.unreportedCount++
+	rep.unreportedTokens += at.tokens
 	rep.attempts = append(rep.attempts, at)
 }
 
-// answering notes an attempt's first token: its prompt is prefilled.
-func (rep *Replica) answering(now time.Time, i int) {
+// recordFirstToken records the arrival of an attempt's first token, which shows that its prompt is prefilled.
+func (rep *Replica) recordFirstToken(now time.Time, i int) {
 	at := &rep.attempts[i]
-	if at.answeredAt.IsZero() {
-		at.answeredAt = now
-		rep.pending[at.level] -= at.prompt
+	if at.firstTokenAt.IsZero() {
+		at.firstTokenAt = now
+		rep.pendingPrefill[at.level] -= at.prompt
 	}
 }
 
-func (rep *Replica) end(i int) attempt {
+func (rep *Replica) removeAttempt(i int) attempt {
 	at := rep.attempts[i]
 	rep.Running--
 	rep.Tokens -= at.tokens
-	if at.answeredAt.IsZero() {
-		rep.pending[at.level] -= at.prompt
+	if at.firstTokenAt.IsZero() {
+		rep.pendingPrefill[at.level] -= at.prompt
 	}
-	if at.at.After(rep.ReportAt) {
-		rep.sentCount--
-		rep.sentTokens -= at.tokens
+	if at.sentAt.After(rep.ReportAt) {
+		rep.unreportedCount--
+		rep.unreportedTokens -= at.tokens
 	}
 	rep.attempts = append(rep.attempts[:i], rep.attempts[i+1:]...)
 	return at
 }
 
-// report takes a newer load report and separates in it the own work from that of others.
-func (rep *Replica) report(ev event.LoadReported) {
+// applyReport applies a newer load report and separates this instance's queued tokens in it from those of the others.
+// Otherwise this instance's work would be counted twice, and the replica would be avoided for twice as long.
+func (rep *Replica) applyReport(ev event.LoadReported) {
 	rep.Report = ev.Load
 	rep.ReportAt = ev.At
-	rep.sentCount, rep.sentTokens = 0, 0
+	rep.unreportedCount, rep.unreportedTokens = 0, 0
 	var own int64
 	for _, at := range rep.attempts {
 		switch {
-		case at.at.After(ev.At):
-			rep.sentCount++
-			rep.sentTokens += at.tokens
-		case at.answeredAt.IsZero() || at.answeredAt.After(ev.At):
+		case at.sentAt.After(ev.At):
+			rep.unreportedCount++
+			rep.unreportedTokens += at.tokens
+		case at.firstTokenAt.IsZero() || at.firstTokenAt.After(ev.At):
 			own += at.prompt
 		}
 	}
-	rep.othersQueued = max(0, ev.Load.QueuedTokens-own)
+	rep.otherQueuedTokens = max(0, ev.Load.QueuedTokens-own)
 }
 
-func (rep *Replica) fresh(now time.Time) bool {
-	return !rep.ReportAt.IsZero() && now.Sub(rep.ReportAt) < staleReport
+func (rep *Replica) reportFresh(now time.Time) bool {
+	return !rep.ReportAt.IsZero() && now.Sub(rep.ReportAt) < maxReportAge
 }
 
-// running estimates the requests at the replica. Without a report the other instances are taken to send as many.
-func (rep *Replica) running(now time.Time) int64 {
-	if rep.fresh(now) {
-		return max(rep.Running, rep.Report.Running+rep.Report.Waiting+rep.sentCount)
+// estimatedRunning estimates the number of requests at the replica. Without a recent report it assumes that each other
+// instance has sent as many as this one.
+func (rep *Replica) estimatedRunning(now time.Time) int64 {
+	if rep.reportFresh(now) {
+		return max(rep.Running, rep.Report.Running+rep.Report.Waiting+rep.unreportedCount)
 	}
 	return rep.Running * rep.pool.instances()
 }
 
-// used estimates the memory taken, as running does.
-func (rep *Replica) used(now time.Time) int64 {
-	if rep.fresh(now) {
-		return max(rep.Tokens, rep.Report.UsedTokens+rep.sentTokens)
+// estimatedTokens estimates the used memory in tokens in the same way as estimatedRunning.
+func (rep *Replica) estimatedTokens(now time.Time) int64 {
+	if rep.reportFresh(now) {
+		return max(rep.Tokens, rep.Report.UsedTokens+rep.unreportedTokens)
 	}
 	return rep.Tokens * rep.pool.instances()
 }
 
-func (rep *Replica) memory() int64 {
+// memoryTokens returns the reported size of the replica's memory in tokens, or the declared one if none was reported.
+func (rep *Replica) memoryTokens() int64 {
 	if rep.Report.MemoryTokens > 0 {
 		return rep.Report.MemoryTokens
 	}
 	return rep.pool.service.MemoryTokens
 }
 
-// ahead estimates the prompt tokens that are prefilled before those of a new request of the level, and those that give
-// way to it. Of the other instances' work only the sum is known; it is taken to be mixed as this instance's own.
-func (rep *Replica) ahead(now time.Time, level int) (before, behind int64) {
-	for lv, tokens := range rep.pending {
+// prefillAhead estimates the queued prompt tokens that are prefilled before those of a new request of the level, and those
+// that are prefilled after it. Only the sum of the other instances' work is known; it is assumed to have the same mix of
+// levels as this instance's.
+func (rep *Replica) prefillAhead(now time.Time, level int) (before, behind int64) {
+	for lv, tokens := range rep.pendingPrefill {
 		if lv >= level {
 			before += tokens
 		} else {
 			behind += tokens
 		}
 	}
-	if rep.fresh(now) {
-		others := int64(float64(rep.othersQueued) * rep.pool.shareFrom(level))
+	if rep.reportFresh(now) {
+		others := int64(float64(rep.otherQueuedTokens) * rep.pool.shareAtOrAbove(level))
 		before += others
-		behind += rep.othersQueued - others
+		behind += rep.otherQueuedTokens - others
 	}
 	return before, behind
 }
 
-// live tells that the replica may get new work at all.
+// live reports whether the replica is listed and not leaving, so that it may be sent new requests.
 func (rep *Replica) live() bool {
 	return !rep.Gone && !rep.Upstream.Leaving
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,4 +1,6 @@
-// Package route chooses the upstream of a request from what this instance sent itself and from reports that lag.
+// Package route picks the upstream replica for a request. It estimates the load of each replica from the attempts that this
+// instance has in flight there and from load reports that lag, ejects replicas that fail or are slow, and limits the
+// attempts in flight.
 package route
 
 import (
@@ -9,91 +11,99 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// goneMemory is how long a replica that the platform no longer lists is remembered, so that an older list cannot bring
-// one back that was leaving.
-const goneMemory = 10 * time.Minute
+// goneRetention is how long a replica that the platform no longer lists is kept, so that a stale list cannot restore one
+// that was leaving.
+const goneRetention = 10 * time.Minute
 
-// State is what routing knows of all upstreams.
+// State holds the routing state of all upstreams.
 type State struct {
-	// FailureDomain is this instance's own.
+	// FailureDomain is the failure domain of this instance, which the comments call the local one.
 	FailureDomain string
-	// Replicas holds every listed upstream by name, and for a while those that are Gone.
+	// Replicas holds the listed upstreams by name, and the ones that are Gone until they are removed.
 	Replicas map[string]*Replica
-	// Services holds each service's listed replicas in the order of the list.
+	// Services holds the listed replicas of each service in the order of the list.
 	Services map[string][]*Replica
-	// Policy is how Pick chooses.
+	// Policy is the algorithm that Pick uses.
 	Policy Policy
 
-	now   time.Time
+	// now is the time passed to the latest call of List, Pick, Report, Sent, Ended or Tick.
+	now time.Time
+	// pools holds the pools by service name.
 	pools map[string]*pool
-	// order holds the names of Services in the order of their first listing.
-	order []string
-	// live is how many instances share the replicas.
-	live int64
-	// out holds the replicas that are ejected or on probation.
-	out       []*Replica
-	nextSlow  time.Time
+	// serviceOrder holds the names of Services in the order of their first listing.
+	serviceOrder []string
+	// instances is the number of instances that share the replicas, at least 1.
+	instances int64
+	// unhealthy holds the replicas that are ejected or on probation.
+	unhealthy []*Replica
+	// nextSlowCheck is when Tick compares the speeds of the replicas next.
+	nextSlowCheck time.Time
+	// slowdowns is the buffer of one such comparison.
 	slowdowns []float64
 	prefixes  prefixIndex
-	// turns counts the choices of RoundRobin by service.
-	turns  map[string]uint64
-	random *rand.Rand
-	// candidates is the buffer of one choice.
+	// roundRobinCounts holds the position of RoundRobin by service.
+	roundRobinCounts map[string]uint64
+	random           *rand.Rand
+	// candidates is the buffer of one call of Pick.
 	candidates []*Replica
 }
 
-// New returns the state of an instance in the failure domain; the seed makes its choices repeatable.
+// New returns the state of an instance in the failure domain. The seed makes its random choices reproducible.
 func New(failureDomain string, seed uint64) *State {
 	return &State{
-		FailureDomain: failureDomain,
-		Replicas:      map[string]*Replica{},
-		Services:      map[string][]*Replica{},
-		Policy:        Sail{},
-		pools:         map[string]*pool{},
-		live:          1,
-		prefixes:      newPrefixIndex(),
-		turns:         map[string]uint64{},
-		random:        rand.New(rand.NewPCG(seed, seed)),
+		FailureDomain:    failureDomain,
+		Replicas:         map[string]*Replica{},
+		Services:         map[string][]*Replica{},
+		Policy:           Sail{},
+		pools:            map[string]*pool{},
+		instances:        1,
+		prefixes:         newPrefixIndex(),
+		roundRobinCounts: map[string]uint64{},
+		random:           rand.New(rand.NewPCG(seed, seed)),
 	}
 }
 
-// Want is what a request needs of a replica.
+// Want holds the properties of a request that routing uses.
 type Want struct {
 	ID      event.RequestID
 	Service string
-	// Model is what the caller named, empty for plain services.
+	// Model is the model that the caller named, empty for plain services.
 	Model string
-	// Prompt and Answer are in tokens.
+	// Prompt is the length of the prompt in tokens.
 	Prompt int64
+	// Answer is the requested length of the answer in tokens.
 	Answer int64
-	// Level ranks the request's class from 0, the lowest; Above counts the classes of higher priority.
+	// Level is the rank of the request's priority among those of the declared classes, from 0 for the lowest.
 	Level int
+	// Above is the number of higher priorities among those of the declared classes.
 	Above int
-	// Queued tells that it found no replica when it arrived.
+	// Queued reports whether the request found no replica when it arrived.
 	Queued bool
-	// Repeatable requests may be used to probe replicas that failed.
+	// Repeatable reports whether the request may be sent again after a failure. Only such a request is used to probe a
+	// replica that was ejected.
 	Repeatable bool
-	// Tried names replicas that failed this request already; they are taken only if nothing else is there.
+	// Tried holds the names of the replicas to avoid, such as those that failed this request, the latest failure last. They
+	// are picked only if no other replica is open.
 	Tried []string
-	// Prefixes are the hashes of the prompt's leading blocks.
+	// Prefixes holds the hashes of the prompt's leading blocks.
 	Prefixes []uint64
 }
 
-// Tokens is the memory that the request needs.
+// Tokens returns the memory that the request needs, in tokens.
 func (want *Want) Tokens() int64 { return want.Prompt + want.Answer }
 
-// List takes the platform's list.
+// List applies the platform's list of upstreams.
 func (st *State) List(now time.Time, listed event.UpstreamsListed) {
 	st.now = now
-	changed := st.takeListed(listed)
+	changed := st.updateListed(listed)
 	changed = st.dropUnlisted(listed) || changed
 	if changed {
-		st.regroup(listed)
+		st.rebuildServices(listed)
 	}
 }
 
-// takeListed updates the replicas and reports whether any joined, moved or began to leave.
-func (st *State) takeListed(listed event.UpstreamsListed) bool {
+// updateListed updates the listed replicas and reports whether any of them is new, restored or changed.
+func (st *State) updateListed(listed event.UpstreamsListed) bool {
 	changed := false
 	for _, up := range listed.Upstreams {
 		rep, ok := st.Replicas[up.Name]
@@ -104,38 +114,41 @@
 			st.retire(rep)
 			rep = st.newReplica(up)
 		}
-		// Leaving is final for a name and address: a list older than another's word must not bring it back.
+		// Leaving is final for a name and address. Otherwise a list that is older than a peer's message would restore the
+		// replica.
 		up.Leaving = up.Leaving || rep.Upstream.Leaving
 		changed = changed || rep.Gone || rep.Upstream != up || !ok
 		rep.Upstream = up
 		rep.Gone = false
-		st.settle(rep)
+		st.updateOpenSet(rep)
 	}
 	return changed
 }
 
 func (st *State) newReplica(up event.Upstream) *Replica {
 	pl := st.poolOf(up.Service)
-	rep := &Replica{Upstream: up, pool: pl, place: -1, Window: pl.firstWindow(), PrefillRate: pl.Prefill}
+	rep := &Replica{Upstream: up, pool: pl, openIndex: -1, Window: pl.initialWindow(), PrefillRate: pl.PrefillRate}
 	st.Replicas[up.Name] = rep
 	return rep
 }
 
-// retire takes a replica out of use for good, as another one has its name.
+// retire marks a replica as gone, because the platform no longer lists it or another one has its name.
 func (st *State) retire(rep *Replica) {
 	if rep == nil {
 		return
 	}
 	rep.Gone = true
-	st.settle(rep)
+	st.updateOpenSet(rep)
 }
 
-// Leave takes another's word that the replica is leaving, ahead of the list.
+// Leave marks the replica as leaving after a peer has said so, ahead of the platform's list.
 func (st *State) Leave(rep *Replica) {
 	rep.Upstream.Leaving = true
-	st.settle(rep)
+	st.updateOpenSet(rep)
 }
 
+// dropUnlisted retires the replicas that are not listed and reports whether there were any. It removes those that were
+// retired longer than goneRetention ago and have no attempts in flight.
 func (st *State) dropUnlisted(listed event.UpstreamsListed) bool {
 	if len(st.Replicas) == len(listed.Upstreams) {
 		return false
@@ -154,32 +167,33 @@
 			rep.goneAt = st.now
 			st.retire(rep)
 		}
-		if rep.Running == 0 && st.now.Sub(rep.goneAt) > goneMemory {
+		if rep.Running == 0 && st.now.Sub(rep.goneAt) > goneRetention {
 			delete(st.Replicas, name)
 		}
 	}
 	return changed
 }
 
-func (st *State) regroup(listed event.UpstreamsListed) {
+// rebuildServices rebuilds Services and the counts of live replicas from the list.
+func (st *State) rebuildServices(listed event.UpstreamsListed) {
 	clear(st.Services)
 	for _, pl := range st.pools {
-		pl.live = 0
+		pl.liveReplicas = 0
 	}
 	for _, up := range listed.Upstreams {
 		rep := st.Replicas[up.Name]
-		if len(st.Services[up.Service]) == 0 && !slices.Contains(st.order, up.Service) {
-			st.order = append(st.order, up.Service)
+		if len(st.Services[up.Service]) == 0 && !slices.Contains(st.serviceOrder, up.Service) {
+			st.serviceOrder = append(st.serviceOrder, up.Service)
 		}
 		st.Services[up.Service] = append(st.Services[up.Service], rep)
 		if rep.live() {
-			rep.pool.live++
+			rep.pool.liveReplicas++
 		}
 	}
-	st.out = slices.DeleteFunc(st.out, func(rep *Replica) bool { return rep.Gone })
+	st.unhealthy = slices.DeleteFunc(st.unhealthy, func(rep *Replica) bool { return rep.Gone })
 }
 
-// Report takes an upstream's load report.
+// Report applies an upstream's load report. The load in it is ignored unless it is newer than the previous one.
 func (st *State) Report(now time.Time, ev event.LoadReported) {
 	st.now = now
 	rep, ok := st.Replicas[ev.Upstream]
@@ -190,20 +204,20 @@
 	rep.Models = ev.Models
 	rep.Loading = ev.Loading
 	if ev.At.After(rep.ReportAt) {
-		rep.report(ev)
-		rep.reported()
-		rep.claim()
-		st.settle(rep)
+		rep.applyReport(ev)
+		rep.adjustWindow()
+		rep.drawSendAllowance()
+		st.updateOpenSet(rep)
 	}
 }
 
-// Serves reports whether any live replica of the service is listed, with room or without.
+// Serves reports whether a live replica of the service is listed, whether or not it has room.
 func (st *State) Serves(service string) bool {
 	pl, ok := st.pools[service]
-	return ok && pl.live > 0
+	return ok && pl.liveReplicas > 0
 }
 
-// Sent counts an attempt that starts at the replica.
+// Sent records an attempt that is sent to the replica.
 func (st *State) Sent(now time.Time, name string, want *Want) {
 	st.now = now
 	rep, ok := st.Replicas[name]
@@ -212,67 +226,68 @@
 	}
 	cached := int64(0)
 	if known, depth := st.prefixes.longest(want.Prefixes); depth > 0 {
-		cached = cachedAt(now, known, rep, depth)
+		cached = cachedTokens(now, known, rep, depth)
 	}
 	prompt := max(0, want.Prompt-cached)
-	before, _ := rep.ahead(now, want.Level)
-	rep.start(attempt{
-		id:     want.ID,
-		at:     now,
-		tokens: want.Tokens(),
-		answer: want.Answer,
-		prompt: prompt,
-		level:  want.Level,
-		ahead:  before + prompt,
+	before, _ := rep.prefillAhead(now, want.Level)
+	rep.addAttempt(attempt{
+		id:               want.ID,
+		sentAt:           now,
+		tokens:           want.Tokens(),
+		answer:           want.Answer,
+		prompt:           prompt,
+		level:            want.Level,
+		workToFirstToken: before + prompt,
 	})
 	if want.Above > 0 && rep.pool.instances() > 1 {
-		rep.claimed = false
+		rep.sendAllowed = false
 	}
-	rep.pool.sent(want.Level, prompt)
-	st.prefixes.hint(now, rep, want.Prefixes)
-	st.settle(rep)
+	rep.pool.recordSent(want.Level, prompt)
+	st.prefixes.addHint(now, rep, want.Prefixes)
+	st.updateOpenSet(rep)
 }
 
-// Answering notes the first token of an attempt's answer.
+// Answering records the arrival of the first token of an attempt's answer.
 func (st *State) Answering(now time.Time, name string, id event.RequestID) {
 	rep, ok := st.Replicas[name]
 	if !ok {
 		return
 	}
-	i := rep.find(id)
+	i := rep.attemptIndex(id)
 	if i < 0 {
 		return
 	}
-	rep.answering(now, i)
-	rep.learnFirst(rep.attempts[i])
+	rep.recordFirstToken(now, i)
+	rep.learnPrefillRate(rep.attempts[i])
 }
 
-// Ended counts an attempt that ended with so many tokens of answer; it returns whether the upstream was ejected by it.
+// Ended records the end of an attempt whose answer has the given number of tokens. It reports whether the upstream was
+// ejected for it.
 func (st *State) Ended(now time.Time, name string, id event.RequestID, tokens int64, result event.Result) bool {
 	st.now = now
 	rep, ok := st.Replicas[name]
 	if !ok {
 		return false
 	}
-	i := rep.find(id)
+	i := rep.attemptIndex(id)
 	if i < 0 {
 		return false
 	}
-	at := rep.end(i)
+	at := rep.removeAttempt(i)
 	if result == event.ResultDone || result == event.ResultExpired {
 		rep.learnStretch(now, at)
 	}
-	out := false
+	ejected := false
 	switch {
 	case result == event.ResultDone:
-		rep.learnWhole(now, at, tokens)
-		rep.answered()
-		st.succeeded(rep)
+		rep.learnAnswer(now, at, tokens)
+		rep.growWindow()
+		st.recordSuccess(rep)
 	case result == event.ResultNotRun:
-		rep.refused(now)
-	case failure(result):
-		out = st.failed(rep)
+		rep.shrinkWindow(now)
+	case isUpstreamFailure(result):
+		ejected = st.recordFailure(rep)
 	}
-	st.settle(rep)
-	return out
+	st.updateOpenSet(rep)
+	return ejected
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -13,7 +13,7 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// seconds after start.
+// at returns the time that many seconds after start.
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
 func config(svc decl.Service) *decl.Config {
@@ -31,18 +31,18 @@
 	return event.LoadReported{Upstream: name, At: when, Load: load}
 }
 
-func TestOwnFailureDomainUnlessClearlyMoreLoaded(t *testing.T) {
+func TestLocalFailureDomainPreferredUnlessMoreLoaded(t *testing.T) {
 	cases := map[string]struct {
 		queued int64
 		far    bool
 	}{
-		"idle":                {0, false},
-		"a little work there": {500, false},
-		"much work there":     {40_000, true},
+		"local replicas idle":             {0, false},
+		"local replicas a little loaded":  {500, false},
+		"local replicas much more loaded": {40_000, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			st := pool(route.Sail{})
+			st := newState(route.Sail{})
 			st.Configure(config(decl.Service{}))
 			for _, near := range []string{"lyric-0", "lyric-1"} {
 				st.Report(start, report(near, start, event.Load{QueuedTokens: tc.queued}))
@@ -53,11 +53,11 @@
 	}
 }
 
-func TestWorkSentAfterTheReportCounts(t *testing.T) {
-	// A report that is 200 ms old shows an idle engine that this instance has just sent a long prompt.
-	// Without correction the next request would follow it there, and each instance would run to the engine that was
-	// idle a moment ago.
-	st := pool(route.Sail{})
+func TestWorkSentAfterReportCounts(t *testing.T) {
+	// A report that is 200 ms old shows an engine as idle to which this instance has since sent a long prompt. Without
+	// counting that prompt, the next requests would go there too, and each instance would send its requests to the engine
+	// that was idle a moment ago.
+	st := newState(route.Sail{})
 	st.Configure(config(decl.Service{}))
 	st.Sent(at(0.1), "lyric-0", want(1, 60_000))
 	for _, near := range []string{"lyric-0", "lyric-1"} {
@@ -68,10 +68,10 @@
 	}
 }
 
-func TestOwnWorkInAReportCountsOnce(t *testing.T) {
-	// The engine's report shows 60,000 queued tokens, all of them this instance's, on top of which it would otherwise
-	// count its own again and shun the engine twice as long.
-	st := pool(route.Sail{})
+func TestOwnWorkInReportCountsOnce(t *testing.T) {
+	// The engine's report shows 60,000 queued tokens, all of them sent by this instance. If the instance added its own count
+	// to them, it would avoid the engine for twice as long.
+	st := newState(route.Sail{})
 	st.Configure(config(decl.Service{}))
 	st.Sent(start, "lyric-0", want(1, 60_000))
 	st.Sent(start, "lyric-1", want(2, 70_000))
@@ -80,7 +80,7 @@
 	low := want(3, 1000)
 	low.Level = 0
 	near := st.Pick(at(0.5), low)
-	assert.Assert(t, near.Upstream.FailureDomain == "b", "the far ones are idle")
+	assert.Assert(t, near.Upstream.FailureDomain == "b", "the replicas of the other failure domain are idle")
 	st.Answering(at(0.6), "lyric-0", 1)
 	st.Report(at(0.7), report("lyric-0", at(0.65), event.Load{Running: 1}))
 	for id := range 10 {
@@ -102,7 +102,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			st := pool(route.Sail{})
+			st := newState(route.Sail{})
 			st.Configure(config(decl.Service{}))
 			st.CacheChanged(start, event.CacheChanged{Upstream: "lyric-1", First: 1, Last: 1, Added: prefixes})
 			st.Report(start, report("lyric-1", start, event.Load{QueuedTokens: tc.busy}))
@@ -116,25 +116,25 @@
 }
 
 func TestCacheEventsWithGaps(t *testing.T) {
-	// An engine drops a cached prefix and the event of it is lost. Until then, its prompts go there; after the gap that
-	// shows the loss, the prefix is believed by half and soon not at all, so a prompt is not drawn there for long.
+	// An engine evicts a cached prefix and the event is lost. Without gap detection its prompts would go to that engine for
+	// ever. After the gap in the sequence numbers the prefix counts half, and after a while not at all.
 	prefixes := []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
 	cases := map[string]struct {
 		events []event.CacheChanged
 		after  time.Duration
 		drawn  bool
 	}{
-		"no gap":         {nil, time.Hour, true},
-		"gap":            {[]event.CacheChanged{{First: 5, Last: 5}}, time.Minute, false},
-		"cleared":        {[]event.CacheChanged{{First: 2, Last: 2, Cleared: true}}, 0, false},
-		"engine renewed": {[]event.CacheChanged{{First: 1, Last: 1}}, 0, false},
-		"removed":        {[]event.CacheChanged{{First: 2, Last: 2, Removed: prefixes}}, 0, false},
-		"late repeat":    {[]event.CacheChanged{{First: 2, Last: 2}, {First: 2, Last: 2, Removed: prefixes}}, 0, true},
-		"confirmed anew": {[]event.CacheChanged{{First: 5, Last: 5, Added: prefixes}}, time.Minute, true},
+		"no gap":                   {nil, time.Hour, true},
+		"gap":                      {[]event.CacheChanged{{First: 5, Last: 5}}, time.Minute, false},
+		"cache cleared":            {[]event.CacheChanged{{First: 2, Last: 2, Cleared: true}}, 0, false},
+		"engine restarted":         {[]event.CacheChanged{{First: 1, Last: 1}}, 0, false},
+		"prefix removed":           {[]event.CacheChanged{{First: 2, Last: 2, Removed: prefixes}}, 0, false},
+		"batch delivered twice":    {[]event.CacheChanged{{First: 2, Last: 2}, {First: 2, Last: 2, Removed: prefixes}}, 0, true},
+		"gap, then confirmed anew": {[]event.CacheChanged{{First: 5, Last: 5, Added: prefixes}}, time.Minute, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			st := pool(route.Sail{})
+			st := newState(route.Sail{})
 			st.Configure(config(decl.Service{}))
 			st.CacheChanged(start, event.CacheChanged{Upstream: "lyric-3", First: 1, Last: 1, Added: prefixes})
 			for _, ev := range tc.events {
@@ -155,16 +155,16 @@
 		above  int
 		placed bool
 	}{
-		"short into a full memory":            {event.Load{UsedTokens: 399_000, Running: 9}, 0, false},
-		"short into the room kept for it":     {event.Load{UsedTokens: 339_000, Running: 9}, 0, true},
-		"long into the room of short prompts": {event.Load{UsedTokens: 300_000, Running: 9}, 2, false},
-		"long while prefill waits":            {event.Load{QueuedTokens: 50_000, Running: 1}, 2, false},
-		"long into an idle engine":            {event.Load{}, 2, true},
-		"long into a batch nearly full":       {event.Load{Running: 30}, 2, false},
+		"highest class, memory full":          {event.Load{UsedTokens: 399_000, Running: 9}, 0, false},
+		"highest class, headroom free":        {event.Load{UsedTokens: 339_000, Running: 9}, 0, true},
+		"lower class, only headroom free":     {event.Load{UsedTokens: 300_000, Running: 9}, 2, false},
+		"lower class, prefill work is queued": {event.Load{QueuedTokens: 50_000, Running: 1}, 2, false},
+		"lower class, engine idle":            {event.Load{}, 2, true},
+		"lower class, batch nearly full":      {event.Load{Running: 30}, 2, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			st := pool(route.Sail{})
+			st := newState(route.Sail{})
 			st.Configure(config(decl.Service{}))
 			for i := range 4 {
 				st.Report(start, report(fmt.Sprintf("lyric-%d", i), start, tc.load))
@@ -177,9 +177,9 @@
 }
 
 func TestWindowFollowsTheEngine(t *testing.T) {
-	// Eight instances share a replica of 32. Each may at first send twice its part. One that is refused sends less,
-	// and when the replica shows room again, more.
-	st := pool(route.Sail{})
+	// Eight instances share a replica that runs 32 requests at once. Each starts with a window of twice its fair share. A
+	// refusal shrinks the window, and a report that shows room grows it again.
+	st := newState(route.Sail{})
 	st.Configure(config(decl.Service{}))
 	st.SetInstances(8)
 	rep := st.Replicas["lyric-0"]
@@ -197,10 +197,10 @@
 }
 
 func TestEjection(t *testing.T) {
-	// One of four engines breaks off each request. After three it gets no more for a while, then one at a time until
-	// it has shown three times that it works. Those of the other failure domain are never ejected with it, however
-	// they fail.
-	st := pool(route.Sail{})
+	// One of four engines breaks off each request. It is ejected after three failures, and then sent one request at a time
+	// until it has answered three. The engines of the other failure domain are never ejected along with it, however they
+	// fail, since that would be more than a third of the pool.
+	st := newState(route.Sail{})
 	st.Configure(config(decl.Service{}))
 	fail := func(when time.Time, name string, id int) bool {
 		st.Sent(when, name, want(id, 1000))
@@ -227,11 +227,11 @@
 	assert.Assert(t, !rep.Probing)
 }
 
-func TestAnswersUnderWayAreNoProbes(t *testing.T) {
-	// Each engine has many streams under way. Some break and get it ejected; others end well, or badly, while it is out.
-	// The good ones must not end its probation, or one engine after another would be ejected until requests wait for
-	// none at all; the bad ones must not stretch the first ejection to a minute.
-	st := pool(route.Sail{})
+func TestAttemptsSentBeforeEjectionAreNotProbes(t *testing.T) {
+	// Each engine has many streams in flight. Some break and get it ejected; the others complete or break during the
+	// ejection. If the complete ones ended its probation, one engine after another would be ejected until none is left. If
+	// the broken ones counted as failures, the first ejection would last a minute.
+	st := newState(route.Sail{})
 	st.Configure(config(decl.Service{}))
 	id := 0
 	for _, name := range []string{"lyric-0", "lyric-1", "lyric-2", "lyric-3"} {
@@ -254,15 +254,15 @@
 	for _, rep := range st.Replicas {
 		if rep.Probing {
 			out++
-			assert.Equal(t, rep.Upstream.FailureDomain, "a", "the other failure domain stays in use whole")
+			assert.Equal(t, rep.Upstream.FailureDomain, "a", "no replica of the other failure domain is ejected")
 		}
-		assert.Assert(t, !rep.EjectedUntil.After(at(3)), "%s is out until %s", rep.Upstream.Name, rep.EjectedUntil)
+		assert.Assert(t, !rep.EjectedUntil.After(at(3)), "%s is ejected until %s", rep.Upstream.Name, rep.EjectedUntil)
 	}
 	assert.Equal(t, out, 2)
 }
 
 func TestSlowReplicaIsEjected(t *testing.T) {
-	st := pool(route.Sail{})
+	st := newState(route.Sail{})
 	st.Configure(config(decl.Service{}))
 	for id := range 60 {
 		name := fmt.Sprintf("lyric-%d", id%4)
@@ -277,9 +277,9 @@
 	assert.DeepEqual(t, st.Tick(at(5)), []string{"lyric-2"})
 }
 
-func TestLeavingUpstreamNeverComesBack(t *testing.T) {
-	// A replica is listed as leaving, then not at all, and then an older list arrives in which it was live.
-	// It gets no work: a request sent there now would be cut.
+func TestStaleListDoesNotRestoreLeavingUpstream(t *testing.T) {
+	// A replica is listed as leaving, then not at all, and then a stale list arrives in which it was still live. If that
+	// list restored it, requests sent there would be cut off.
 	st := route.New("a", 1)
 	up := event.Upstream{Name: "lyric-0", Service: "lyric", Address: "127.0.0.1:1", FailureDomain: "a"}
 	other := event.Upstream{Name: "lyric-1", Service: "lyric", Address: "127.0.0.1:2", FailureDomain: "a", Leaving: true}
@@ -295,11 +295,11 @@
 	assert.Equal(t, st.Pick(start, want(1, 1000)).Upstream.Address, "127.0.0.1:3", "another process of the same name")
 }
 
-// TestCountsAreConserved checks that what was sent and has ended leaves nothing behind on any replica, that no count
-// is ever negative, and that a leaving replica is never picked, under any order of events.
+// TestCountsAreConserved checks, under any order of events, that attempts that have ended leave no counts behind on any
+// replica, that no count is ever negative, and that a leaving replica is never picked.
 func TestCountsAreConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		st := pool(route.Sail{})
+		st := newState(route.Sail{})
 		st.Configure(config(decl.Service{MaxRunning: 4}))
 		now := start
 		next := 0
@@ -382,20 +382,21 @@
 	})
 }
 
-func TestRetryAvoidsTheLatestFailure(t *testing.T) {
-	// All replicas failed a request before, one of them just now because it died. The retry goes to the one whose
-	// failure is longest ago, not back to the dead one until the retry budget is used up.
-	st := pool(route.Sail{})
+func TestRetryPicksEarliestFailedReplica(t *testing.T) {
+	// All replicas have failed a request, the last one because it died. If the retry went back to that one, it would use up
+	// the retry budget there. It goes to the replica whose failure is the earliest.
+	st := newState(route.Sail{})
 	st.Configure(config(decl.Service{}))
 	wanted := want(1, 1000)
 	wanted.Tried = []string{"lyric-1", "lyric-0", "lyric-3", "lyric-2", "lyric-0"}
 	assert.Equal(t, st.Pick(start, wanted).Upstream.Name, "lyric-1")
 }
 
-func TestLostFailureDomainIsEjectedWhole(t *testing.T) {
-	// Both engines of a failure domain go silent. Requests sent there wait for the silence to be noticed, so both are
-	// ejected, although they are half of the pool; the engines of the other one never are, while these are out.
-	st := pool(route.Sail{})
+func TestLostFailureDomainIsEjectedCompletely(t *testing.T) {
+	// Both engines of a failure domain go silent. If only one of them were ejected, requests sent to the other would wait
+	// until its silence is noticed. Both are ejected, although they are half of the pool. The engines of the other domain
+	// are not ejected while these are.
+	st := newState(route.Sail{})
 	st.Configure(config(decl.Service{}))
 	for id := range 12 {
 		name := fmt.Sprintf("lyric-%d", id%4)
