--- a/internal/steer/state.go
+++ b/internal/steer/state.go
@@ -172,22 +172,22 @@
 		opts.Tuning = DefaultTuning()
 	}
 	return &State{
-		Options:    opts,
-		tune:       opts.Tuning,
-		services:   map[string]*service{},
-		replicas:   map[string]*replica{},
-		requests:   map[RequestID]*request{},
-		peers:      map[string]*peer{},
-		live:       1,
-		budgets:    map[string]*ledger{},
-		quarantine: newQuarantine(),
-		missing:    map[string]time.Time{},
-		lastUnanswered:     map[string]time.Time{},
-		usersOf:    map[subset][]string{},
-		outbox:     map[subset]*pending{},
-		meanPrompts:      map[string]float64{},
-		longestTimeouts:      map[string]time.Duration{},
-		random:     rand.New(rand.NewPCG(opts.Seed, opts.Seed)),
+		Options:         opts,
+		tune:            opts.Tuning,
+		services:        map[string]*service{},
+		replicas:        map[string]*replica{},
+		requests:        map[RequestID]*request{},
+		peers:           map[string]*peer{},
+		live:            1,
+		budgets:         map[string]*ledger{},
+		quarantine:      newQuarantine(),
+		missing:         map[string]time.Time{},
+		lastUnanswered:  map[string]time.Time{},
+		usersOf:         map[subset][]string{},
+		outbox:          map[subset]*pending{},
+		meanPrompts:     map[string]float64{},
+		longestTimeouts: map[string]time.Duration{},
+		random:          rand.New(rand.NewPCG(opts.Seed, opts.Seed)),
 	}
 }
 
