--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -20,173 +20,183 @@
 )
 
 const (
-	// dialTimeout bounds a new connection; a live replica takes one in a few milliseconds.
+	// dialTimeout is the timeout of a new connection; a live replica accepts one within a few milliseconds.
 	dialTimeout = 600 * time.Millisecond
-	// idleReplica is how long a connection to a replica is kept, less than replicas keep theirs.
-	idleReplica = 3 * time.Second
-	// probeTimeout bounds the look whether a replica that broke off still takes connections.
+	// replicaIdleTimeout is how long an idle connection to a replica is kept. It is shorter than the replicas' own
+	// timeout.
+	replicaIdleTimeout = 3 * time.Second
+	// probeTimeout is the timeout of the check whether a replica still accepts connections after an attempt failed or
+	// fell silent.
 	probeTimeout = 250 * time.Millisecond
-	// maxAnswer is the longest plain answer; it is held until it is whole.
-	maxAnswer = 8 << 20
-	// leastLeft is the shortest time worth telling a replica.
-	leastLeft = time.Millisecond
+	// maxPlainResponse is the maximum size in bytes of a response that is not streamed; it is buffered until it is
+	// complete.
+	maxPlainResponse = 8 << 20
+	// minTimeLeft is the shortest remaining time that a replica is sent.
+	minTimeLeft = time.Millisecond
 )
 
-func newTransport(fresh bool) *http.Transport {
-	// A connection that fell silent for good shows only by probes that are not answered.
+func newTransport(disableKeepAlives bool) *http.Transport {
+	// A connection that has died silently is detected only by unanswered TCP keep-alive probes.
 	probes := net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: probes}
 	return &http.Transport{
 		DialContext:         dialer.DialContext,
 		DisableCompression:  true,
-		DisableKeepAlives:   fresh,
+		DisableKeepAlives:   disableKeepAlives,
 		MaxIdleConnsPerHost: 4,
-		IdleConnTimeout:     idleReplica,
+		IdleConnTimeout:     replicaIdleTimeout,
 		ReadBufferSize:      4 << 10,
 		WriteBufferSize:     4 << 10,
 	}
 }
 
-// answer is a whole answer of a replica.
-type answer struct {
+// response is a complete response of a replica.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (an *answer) write(cl *call) {
-	copyHeader(cl.w.Header(), an.header)
-	cl.w.Header().Set("Content-Length", strconv.Itoa(len(an.body)))
-	cl.headerOut = true
-	cl.w.WriteHeader(an.status)
-	_, _ = cl.w.Write(an.body)
+func (rsp *response) write(cl *call) {
+	copyHeader(cl.w.Header(), rsp.header)
+	cl.w.Header().Set("Content-Length", strconv.Itoa(len(rsp.body)))
+	cl.headerSent = true
+	cl.w.WriteHeader(rsp.status)
+	_, _ = cl.w.Write(rsp.body)
 }
 
-// attempt sends the request to a replica, passes its answer on and returns how that ended.
-func (in *Instance) attempt(cl *call, eff steer.Send) steer.AttemptEnded {
+// runAttempt sends the request to a replica, forwards its response and returns how the attempt ended.
+func (in *Instance) runAttempt(cl *call, eff steer.Send) steer.AttemptEnded {
 	ctx, cancel := context.WithDeadline(cl.req.Context(), eff.Deadline)
 	defer cancel()
 	cl.mu.Lock()
 	cl.attempt, cl.cancel = eff.Attempt, cancel
 	cl.mu.Unlock()
-	tr := &try{in: in, cl: cl, eff: eff, ended: steer.AttemptEnded{ID: cl.id, Attempt: eff.Attempt}}
-	tr.ended.Result = tr.run(ctx)
-	if tr.ended.Result == steer.ResultBroken && ctx.Err() == nil {
-		tr.ended.Died = died(ctx, eff.Replica.Address)
+	att := &attempt{in: in, cl: cl, eff: eff, ended: steer.AttemptEnded{ID: cl.id, Attempt: eff.Attempt}}
+	att.ended.Result = att.run(ctx)
+	if att.ended.Result == steer.ResultBroken && ctx.Err() == nil {
+		att.ended.Died = refusesConnections(ctx, eff.Replica.Address)
 	}
-	tr.ended.Begun = cl.headerOut
-	return tr.ended
+	att.ended.Begun = cl.headerSent
+	return att.ended
 }
 
-// try is one attempt under way.
-type try struct {
+// attempt is one attempt under way.
+type attempt struct {
 	in    *Instance
 	cl    *call
 	eff   steer.Send
 	ended steer.AttemptEnded
-	// wrote tells that the request may have left, silent that the replica made no progress in its time.
-	wrote  atomic.Bool
+	// maybeSent reports whether the request may have left this Instance.
+	maybeSent atomic.Bool
+	// silent reports whether the replica made no progress in time.
 	silent atomic.Bool
 	timer  *time.Timer
-	// cancel ends the renewing of memory that helpers set aside, renewed tells that it has ended.
-	cancel  context.CancelFunc
-	renewed chan struct{}
-	// limit is the longest silence allowed now.
-	limit  atomic.Int64
+	// cancel ends the attempt and the renewal of its reservations.
+	cancel context.CancelFunc
+	// renewalDone is closed when the renewal has ended; nil if it was not started.
+	renewalDone chan struct{}
+	// limit is the maximum silence of the replica that is currently allowed.
+	limit atomic.Int64
+	// checks counts the checks of a silent replica since its last event.
 	checks atomic.Int32
-	last   time.Time
-	// progressed is when the last event came, nil before the first. It keeps the steady clock, which the time of day is not.
-	progressed atomic.Pointer[time.Time]
+	// lastEvent is the time of the last event, for the goroutine that reads the response.
+	lastEvent time.Time
+	// sharedLastEvent is the time of the last event, nil before the first, for the timer's goroutine. It is a
+	// *time.Time because a time.Time keeps the monotonic clock reading, which a time of day lacks.
+	sharedLastEvent atomic.Pointer[time.Time]
 }
 
-func (tr *try) run(ctx context.Context) steer.Result {
+func (att *attempt) run(ctx context.Context) steer.Result {
 	watched, cancel := context.WithCancel(ctx)
 	defer cancel()
-	tr.cancel = cancel
-	limit := firstLimit(&tr.eff)
-	tr.limit.Store(int64(limit))
-	tr.timer = time.AfterFunc(limit, func() { tr.check(watched, cancel) })
-	defer tr.timer.Stop()
-	if fault, ok := tr.reserve(watched); !ok {
-		tr.ended.At = fault
+	att.cancel = cancel
+	limit := firstByteLimit(&att.eff)
+	att.limit.Store(int64(limit))
+	att.timer = time.AfterFunc(limit, func() { att.checkSilence(watched, cancel) })
+	defer att.timer.Stop()
+	if refusedBy, ok := att.reserve(watched); !ok {
+		att.ended.At = refusedBy
 		return steer.ResultNotRun
 	}
-	defer tr.release()
-	transport := tr.in.kept
-	if tr.eff.Fresh {
-		transport = tr.in.fresh1
+	defer att.release()
+	transport := att.in.pooled
+	if att.eff.Fresh {
+		transport = att.in.unpooled
 	}
 	sent := time.Now()
-	resp, err := transport.RoundTrip(tr.request(watched))
+	resp, err := transport.RoundTrip(att.newRequest(watched))
 	if err != nil {
-		return tr.failed(ctx)
+		return att.failureResult(ctx)
 	}
-	reply := tr.in.protocol.Reply(resp)
-	tr.in.answered(tr.eff.Replica, sent, reply)
+	reply := att.in.protocol.Reply(resp)
+	att.in.recordRateLimit(att.eff.Replica, sent, reply)
 	defer func() { _ = resp.Body.Close() }()
-	return tr.receive(ctx, resp, reply)
+	return att.receive(ctx, resp, reply)
 }
 
-// check ends an attempt whose replica is silent. One that other requests heard lately, or that takes new connections, is
-// not: it has more to do than was reckoned, and to send the request elsewhere would waste what it has read of it. A
-// connection that only looks open shows by its probes.
-func (tr *try) check(ctx context.Context, cancel context.CancelFunc) {
-	limit := time.Duration(tr.limit.Load())
-	if setsAside(&tr.eff) && !tr.cl.headerOut {
-		tr.silent.Store(true)
+// checkSilence ends an attempt whose replica is silent. A replica does not count as silent if other requests recently
+// received events from it or if it accepts a new connection: it then has more work than estimated, and a retry
+// elsewhere would waste the part of the prompt that it has processed. TCP keep-alive probes detect a connection that
+// only seems open. An attempt with reservations whose response has not begun is ended without these checks.
+func (att *attempt) checkSilence(ctx context.Context, cancel context.CancelFunc) {
+	limit := time.Duration(att.limit.Load())
+	if hasReservations(&att.eff) && !att.cl.headerSent {
+		att.silent.Store(true)
 		cancel()
 		return
 	}
-	var heard time.Time
-	if at, ok := tr.in.heard.Load(tr.eff.Replica.Name); ok {
-		heard = at.(time.Time)
+	var lastSeen time.Time
+	if at, ok := att.in.lastEvents.Load(att.eff.Replica.Name); ok {
+		lastSeen = at.(time.Time)
 	}
-	if tr.checks.Add(1) <= maxChecks && !passedBy(tr.progressed.Load(), heard, limit) {
-		if since := time.Since(heard); since < limit {
-			tr.timer.Reset(limit - since)
+	if att.checks.Add(1) <= maxChecks && !connectionStalled(att.sharedLastEvent.Load(), lastSeen, limit) {
+		if since := time.Since(lastSeen); since < limit {
+			att.timer.Reset(limit - since)
 			return
 		}
-		if !died(ctx, tr.eff.Replica.Address) {
-			tr.timer.Reset(limit)
+		if !refusesConnections(ctx, att.eff.Replica.Address) {
+			att.timer.Reset(limit)
 			return
 		}
 	}
-	tr.silent.Store(true)
+	att.silent.Store(true)
 	cancel()
 }
 
-// passedBy tells that other requests heard the replica long after this one's last event: the events of an engine leave it
-// together, so that the connection is dead on which none came, though the replica is alive. Without that a stream sat on
-// such a connection until its caller left, for as long as others heard the replica.
-func passedBy(last *time.Time, heard time.Time, limit time.Duration) bool {
-	return last != nil && heard.Sub(*last) > limit/2
+// connectionStalled reports whether other requests received events from the replica long after this request's last
+// event. An engine sends the events of all its streams together, so a connection without events is dead although the
+// replica is alive. Without this check such a stream waits until its caller leaves, as long as others receive events.
+func connectionStalled(lastEvent *time.Time, lastSeen time.Time, limit time.Duration) bool {
+	return lastEvent != nil && lastSeen.Sub(*lastEvent) > limit/2
 }
 
-// setsAside tells that helpers set memory aside for the attempt.
-func setsAside(eff *steer.Send) bool {
+// hasReservations reports whether helpers reserve memory for the attempt.
+func hasReservations(eff *steer.Send) bool {
 	return slices.ContainsFunc(eff.Helpers, func(helper steer.Helper) bool { return helper.Tokens > 0 })
 }
 
-// firstLimit is how long the answer may take to begin. Memory set aside that no request uses must not be renewed for as
-// long as a silent replica is believed to be at work.
-func firstLimit(eff *steer.Send) time.Duration {
-	if setsAside(eff) {
-		return min(eff.FirstBy, ticketIdle)
+// firstByteLimit returns the maximum time until the response begins. It is shorter for an attempt with reservations:
+// memory that no request uses must not be renewed for as long as a silent replica is assumed to be working.
+func firstByteLimit(eff *steer.Send) time.Duration {
+	if hasReservations(eff) {
+		return min(eff.FirstBy, maxUnusedReservation)
 	}
 	return eff.FirstBy
 }
 
-// maxChecks is how often a replica that takes connections or is heard by others is believed to be at work on a request that it is silent about.
+// maxChecks is how often a silent replica is assumed to be working on a request because it accepts connections or sends
+// events to other requests.
 const maxChecks = 3
 
-// failed classifies an attempt without a whole answer.
-func (tr *try) failed(ctx context.Context) steer.Result {
+// failureResult classifies an attempt that ended without a complete response.
+func (att *attempt) failureResult(ctx context.Context) steer.Result {
 	switch {
-	case !tr.wrote.Load():
+	case !att.maybeSent.Load():
 		return steer.ResultNotSent
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return steer.ResultExpired
-	case tr.silent.Load():
+	case att.silent.Load():
 		return steer.ResultSilent
 	case ctx.Err() != nil:
 		return steer.ResultCancelled
@@ -194,13 +204,13 @@
 	return steer.ResultBroken
 }
 
-func (tr *try) request(ctx context.Context) *http.Request {
-	cl := tr.cl
-	// A connection that was had may carry the request from here on, whatever error follows.
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { tr.wrote.Store(true) }})
+func (att *attempt) newRequest(ctx context.Context) *http.Request {
+	cl := att.cl
+	// Once a connection is assigned it may carry the request, whatever error follows.
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { att.maybeSent.Store(true) }})
 	req := (&http.Request{
 		Method: cl.req.Method, Host: cl.req.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		URL:    target(cl.req, tr.eff.Replica.Address),
+		URL:    targetURL(cl.req, att.eff.Replica.Address),
 		Header: hops.Kept(cl.req.Header),
 	}).WithContext(ctx)
 	if len(cl.body) > 0 {
@@ -208,22 +218,22 @@
 		req.ContentLength = int64(len(cl.body))
 	}
 	if _, ok := req.Header["User-Agent"]; !ok {
-		// Without it the library would add its own.
+		// Otherwise net/http adds its own User-Agent.
 		req.Header["User-Agent"] = []string{""}
 	}
 	dress := Dress{
-		Replica: tr.eff.Replica.Name, Organisation: cl.org, Left: max(leastLeft, time.Until(tr.eff.Deadline)),
-		Priority: tr.eff.Priority, After: cl.after,
+		Replica: att.eff.Replica.Name, Organisation: cl.org, Left: max(minTimeLeft, time.Until(att.eff.Deadline)),
+		Priority: att.eff.Priority, After: cl.lastEventID,
 	}
-	for i, helper := range tr.eff.Helpers {
-		dress.Helpers = append(dress.Helpers, DressHelper{Address: helper.Address, Ticket: tr.ticketID(i)})
+	for i, helper := range att.eff.Helpers {
+		dress.Helpers = append(dress.Helpers, DressHelper{Address: helper.Address, Ticket: att.reservationID(i)})
 	}
-	tr.in.protocol.Dress(req.Header, dress)
+	att.in.protocol.Dress(req.Header, dress)
 	return req
 }
 
-// target keeps the path as the caller wrote it.
-func target(req *http.Request, address string) *url.URL {
+// targetURL returns the URL at the replica with the path exactly as the caller sent it.
+func targetURL(req *http.Request, address string) *url.URL {
 	if strings.HasPrefix(req.RequestURI, "/") && !strings.HasPrefix(req.RequestURI, "//") {
 		return &url.URL{Scheme: "http", Host: address, Opaque: req.RequestURI}
 	}
@@ -231,24 +241,24 @@
 }
 
 func copyHeader(to, from http.Header) {
-	closing := to.Get("Connection")
+	connection := to.Get("Connection")
 	for name, values := range hops.Kept(from) {
 		to[name] = values
 	}
-	if closing != "" {
-		to.Set("Connection", closing)
+	if connection != "" {
+		to.Set("Connection", connection)
 	}
 	if from.Get("Content-Type") == "" {
-		// Without it the library would guess one.
+		// Otherwise net/http guesses a Content-Type.
 		to["Content-Type"] = nil
 	}
 }
 
-func (tr *try) receive(ctx context.Context, resp *http.Response, reply Reply) steer.Result {
-	tr.ended.Status = resp.StatusCode
-	tr.ended.At = reply.At
-	if reply.Name != tr.cl.ask.Name && reply.Name != "" {
-		// An answer to another request, which came late on a kept connection.
+func (att *attempt) receive(ctx context.Context, resp *http.Response, reply Reply) steer.Result {
+	att.ended.Status = resp.StatusCode
+	att.ended.At = reply.At
+	if reply.Name != att.cl.info.Name && reply.Name != "" {
+		// This is a late response to an earlier request on a reused connection.
 		return steer.ResultBroken
 	}
 	switch {
@@ -258,30 +268,30 @@
 		return steer.ResultNotRun
 	case !reply.Sealed || resp.Header.Get("Content-Encoding") != "":
 		return steer.ResultBroken
-	case tr.cl.route.Stream && resp.StatusCode < http.StatusMultipleChoices:
-		return tr.stream(ctx, resp)
+	case att.cl.route.Stream && resp.StatusCode < http.StatusMultipleChoices:
+		return att.stream(ctx, resp)
 	}
-	return tr.whole(ctx, resp)
+	return att.receiveWhole(ctx, resp)
 }
 
-// whole holds an answer until all of it is here, so that one that breaks off can be replaced.
-func (tr *try) whole(ctx context.Context, resp *http.Response) steer.Result {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+// receiveWhole buffers the response until it is complete, so that another attempt can replace one that is cut off.
+func (att *attempt) receiveWhole(ctx context.Context, resp *http.Response) steer.Result {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainResponse))
 	if err != nil {
-		return tr.failed(ctx)
+		return att.failureResult(ctx)
 	}
-	an := &answer{status: resp.StatusCode, header: resp.Header, body: body}
-	if resp.StatusCode >= http.StatusMultipleChoices || tr.cl.headerOut {
-		tr.cl.failure = an
+	rsp := &response{status: resp.StatusCode, header: resp.Header, body: body}
+	if resp.StatusCode >= http.StatusMultipleChoices || att.cl.headerSent {
+		att.cl.errorResponse = rsp
 		return steer.ResultAnswered
 	}
-	tr.in.apply(steer.Began{ID: tr.cl.id, Attempt: tr.eff.Attempt})
-	an.write(tr.cl)
+	att.in.apply(steer.Began{ID: att.cl.id, Attempt: att.eff.Attempt})
+	rsp.write(att.cl)
 	return steer.ResultDone
 }
 
-// died tells that the replica takes no new connection.
-func died(ctx context.Context, address string) bool {
+// refusesConnections reports whether the replica does not accept a new connection.
+func refusesConnections(ctx context.Context, address string) bool {
 	conn, err := (&net.Dialer{Timeout: probeTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return ctx.Err() == nil
--- a/internal/relay/attempt_test.go
+++ b/internal/relay/attempt_test.go
@@ -7,26 +7,26 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestPassedBy(t *testing.T) {
-	// A connection falls silent midway while the replica goes on to serve others. Its stream was believed to be under way
-	// for as long as anybody heard the replica, eight seconds and more, until its caller left. Its engine sends the events of
-	// all streams together, so that one that has none while others have is given up.
+func TestConnectionStalled(t *testing.T) {
+	// Guards against a stream that hangs until its caller leaves, eight seconds and more: its connection dies midway
+	// while the replica continues to serve others, whose events make the replica look alive. The engine sends the
+	// events of all streams together, so a stream without events while others have some is given up.
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	const limit = 1100 * time.Millisecond
 	cases := map[string]struct {
-		last   *time.Time
-		heard  time.Time
-		passed bool
+		last     *time.Time
+		lastSeen time.Time
+		stalled  bool
 	}{
-		"others heard it a second later":         {&start, start.Add(time.Second), true},
-		"all wait for the same long pass":        {&start, start.Add(2 * time.Millisecond), false},
-		"others were heard before":               {&start, start.Add(-time.Second), false},
-		"nobody heard it":                        {&start, time.Time{}, false},
-		"this one has no event yet, others have": {nil, start, false},
+		"event for others a second later":     {&start, start.Add(time.Second), true},
+		"same long pass for all":              {&start, start.Add(2 * time.Millisecond), false},
+		"event for others earlier":            {&start, start.Add(-time.Second), false},
+		"no event for others":                 {&start, time.Time{}, false},
+		"event for others, none yet for this": {nil, start, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, passedBy(tc.last, tc.heard, limit), tc.passed)
+			assert.Equal(t, connectionStalled(tc.last, tc.lastSeen, limit), tc.stalled)
 		})
 	}
 }
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -16,73 +16,75 @@
 )
 
 const (
-	// mailbox is how many effects wait for a call; it has at most a Send and a Finish at once.
-	mailbox = 4
-	// defaultPatience stands for a caller that does not say how long it waits.
+	// effectQueueSize is the capacity of a call's effect channel; the reducer queues at most a Send and a Finish at
+	// once.
+	effectQueueSize = 4
+	// defaultPatience is how long a caller is taken to wait if its request does not say.
 	defaultPatience = 30 * time.Second
-	// configPause is when a caller should come back to an instance without a configuration.
-	configPause = 300 * time.Millisecond
-	// writeGrace is how long after its deadline a caller can still be told of the end.
+	// noConfigRetryAfter is the Retry-After sent by an Instance without a usable configuration.
+	noConfigRetryAfter = 300 * time.Millisecond
+	// writeGrace is how long after a request's deadline its error response may still be written.
 	writeGrace = 300 * time.Millisecond
 )
 
-// call is one caller's request in the shell.
+// call is one caller's request.
 type call struct {
 	id       steer.RequestID
 	w        http.ResponseWriter
 	req      *http.Request
-	ask      Ask
+	info     Ask
 	route    *decl.Route
 	org      string
 	body     []byte
 	deadline time.Time
-	mail     chan steer.Effect
+	effects  chan steer.Effect
 	control  *http.ResponseController
 
-	// headerOut tells that the caller has a status; after is the last event that it has.
-	headerOut bool
-	after     string
-	// failure is a replica's answer of failure, kept until it is clear that no other answer follows.
-	failure *answer
-	arrived time.Time
+	// headerSent reports whether the caller has received a status.
+	headerSent bool
+	// lastEventID is the ID of the last event that the caller has received.
+	lastEventID string
+	// errorResponse is a replica's error response, held until it is clear that no other response follows.
+	errorResponse *response
+	arrived       time.Time
 
 	mu      sync.Mutex
 	attempt int
 	cancel  context.CancelFunc
 }
 
-// serve takes one request to its end.
+// serve handles one request from its arrival to its end.
 func (in *Instance) serve(w http.ResponseWriter, req *http.Request) {
 	if in.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	cl := &call{
-		w: w, req: req, ask: in.protocol.Ask(req),
-		mail: make(chan steer.Effect, mailbox), control: http.NewResponseController(w),
+		w: w, req: req, info: in.protocol.Ask(req),
+		effects: make(chan steer.Effect, effectQueueSize), control: http.NewResponseController(w),
 	}
 	arrived := time.Now()
 	in.awaitStart(req.Context())
 	if !in.admit(cl) {
 		return
 	}
-	if !in.read(cl) {
+	if !in.readBody(cl) {
 		return
 	}
-	patience := cl.ask.Patience
+	patience := cl.info.Patience
 	if patience <= 0 {
 		patience = defaultPatience
 	}
 	cl.deadline = arrived.Add(min(patience, cl.route.Timeout.Std()))
 	_ = cl.control.SetWriteDeadline(cl.deadline.Add(writeGrace))
 	cl.arrived = arrived
-	in.converse(cl, in.arrival(cl))
+	in.process(cl, in.arrivedEvent(cl))
 }
 
-// admit finds the request's route and organisation, or answers why there is none.
+// admit finds the request's route and organisation, or writes the rejection and returns false.
 func (in *Instance) admit(cl *call) bool {
 	routing := in.routing.Load()
 	if routing == nil {
-		in.reject(cl, http.StatusServiceUnavailable, "no configuration yet", configPause)
+		in.reject(cl, http.StatusServiceUnavailable, "no configuration yet", noConfigRetryAfter)
 		return false
 	}
 	cl.route = routing.Find(cl.req.Host, cl.req.URL.Path)
@@ -90,16 +92,16 @@
 		in.reject(cl, http.StatusNotFound, "no route", 0)
 		return false
 	}
-	if cl.ask.Token != "" {
-		cl.org = routing.Tokens[decl.TokenDigest(cl.ask.Token)]
+	if cl.info.Token != "" {
+		cl.org = routing.Tokens[decl.TokenDigest(cl.info.Token)]
 	}
 	if cl.route.Public {
 		return true
 	}
-	// A token that was taken away must not be used any longer, also here where the store cannot be heard.
+	// A revoked token must not be accepted any longer, even by an Instance that cannot reach the store.
 	if !in.fresh(1) {
 		cl.w.Header().Set("Connection", "close")
-		in.reject(cl, http.StatusServiceUnavailable, "tokens unconfirmed", configPause)
+		in.reject(cl, http.StatusServiceUnavailable, "tokens unconfirmed", noConfigRetryAfter)
 		return false
 	}
 	if cl.org == "" {
@@ -109,8 +111,8 @@
 	return true
 }
 
-// read takes in the whole body.
-func (in *Instance) read(cl *call) bool {
+// readBody reads the whole request body and reports whether it could. It rejects a body that is too long.
+func (in *Instance) readBody(cl *call) bool {
 	limit := in.opts.MaxBody
 	if own := in.routing.Load().Limits.BodyBytes; own > 0 {
 		limit = own
@@ -130,36 +132,39 @@
 	return false
 }
 
-func (in *Instance) arrival(cl *call) steer.Arrived {
+func (in *Instance) arrivedEvent(cl *call) steer.Arrived {
 	priority := cl.route.Priority
 	if own, ok := in.routing.Load().Priorities[cl.org]; ok {
 		priority = own
 	}
 	cl.id = steer.RequestID(in.nextID.Add(1))
 	return steer.Arrived{
-		ID: cl.id, Route: cl.route, Name: cl.ask.Name, Organisation: cl.org, Priority: priority,
-		Prompt: cl.ask.Prompt, Answer: cl.ask.Answer, Deadline: cl.deadline, Patience: leaves(cl.route, cl.arrived, cl.deadline),
-		Digest: cl.digest(), Given: cl.ask.Patience,
+		ID: cl.id, Route: cl.route, Name: cl.info.Name, Organisation: cl.org, Priority: priority,
+		Prompt: cl.info.Prompt, Answer: cl.info.Answer, Deadline: cl.deadline, Patience: patienceEnd(cl.route, cl.arrived, cl.deadline),
+		Digest: cl.digest(), Given: cl.info.Patience,
 	}
 }
 
-// leaves is when a caller gives up a stream that has not begun.
-func leaves(route *decl.Route, arrived, deadline time.Time) time.Time {
+// patienceEnd returns when a caller gives up if no answer has begun.
+func patienceEnd(route *decl.Route, arrived, deadline time.Time) time.Time {
 	if !route.Stream {
 		return deadline
 	}
-	wait := max(leastWait, waitGoals*route.Goal.Std(), waitGaps*route.Gap.Std())
+	wait := max(minPatience, patienceGoals*route.Goal.Std(), patienceGaps*route.Gap.Std())
 	if at := arrived.Add(wait); at.Before(deadline) {
 		return at
 	}
 	return deadline
 }
 
-// Callers of streams give up after the longest of these without an event.
+// The caller of a stream that has not begun gives up after the longest of the following times without an event.
 const (
-	leastWait = 2 * time.Second
-	waitGoals = 4
-	waitGaps  = 8
+	// minPatience is the minimum time.
+	minPatience = 2 * time.Second
+	// patienceGoals is the time as a multiple of the route's Goal.
+	patienceGoals = 4
+	// patienceGaps is the time as a multiple of the route's Gap.
+	patienceGaps = 8
 )
 
 func (cl *call) digest() steer.Digest {
@@ -171,8 +176,8 @@
 	return steer.Digest(hash.Sum64())
 }
 
-// converse carries out the call's effects until its Finish.
-func (in *Instance) converse(cl *call, ev steer.Arrived) {
+// process carries out the call's effects until its Finish.
+func (in *Instance) process(cl *call, ev steer.Arrived) {
 	in.mu.Lock()
 	in.calls[cl.id] = cl
 	in.mu.Unlock()
@@ -181,15 +186,15 @@
 		delete(in.calls, cl.id)
 		in.mu.Unlock()
 	}()
-	defer func() { in.time("Requests.Whole."+kind(cl.route), time.Since(cl.arrived)) }()
+	defer func() { in.recordTime("Requests.Whole."+routeKind(cl.route), time.Since(cl.arrived)) }()
 	in.apply(ev)
 	gone := cl.req.Context().Done()
 	for {
 		select {
-		case eff := <-cl.mail:
+		case eff := <-cl.effects:
 			switch eff := eff.(type) {
 			case steer.Send:
-				in.apply(in.attempt(cl, eff))
+				in.apply(in.runAttempt(cl, eff))
 			case steer.Finish:
 				in.finish(cl, eff)
 				return
@@ -209,30 +214,30 @@
 	}
 }
 
-// kind names the two kinds of route in the metrics.
-func kind(route *decl.Route) string {
+// routeKind returns the name of the route's kind in metrics.
+func routeKind(route *decl.Route) string {
 	if route.Stream {
 		return "stream"
 	}
 	return "plain"
 }
 
-// finish gives the caller the end of its request.
+// finish ends the caller's request.
 func (in *Instance) finish(cl *call, eff steer.Finish) {
 	switch {
-	case eff.Deliver && !cl.headerOut && cl.failure != nil:
-		cl.failure.write(cl)
+	case eff.Deliver && !cl.headerSent && cl.errorResponse != nil:
+		cl.errorResponse.write(cl)
 	case eff.Refusal == nil && !eff.Deliver:
-	case cl.headerOut:
-		// Some of the answer is out: only a cut connection tells the caller that it is not whole.
+	case cl.headerSent:
+		// Part of the response is sent; only a cut connection shows the caller that the rest is missing.
 		panic(http.ErrAbortHandler)
 	case eff.Refusal != nil:
-		in.reject(cl, status(eff.Refusal), string(eff.Refusal.Reason), eff.Refusal.RetryAfter)
+		in.reject(cl, statusCode(eff.Refusal), string(eff.Refusal.Reason), eff.Refusal.RetryAfter)
 	}
 }
 
-// status is 503 only for what has not run and never will: callers send it again.
-func status(refusal *steer.Refusal) int {
+// statusCode returns 503 only for requests that did not run and never will, since callers retry on 503.
+func statusCode(refusal *steer.Refusal) int {
 	switch {
 	case refusal.NotRun:
 		return http.StatusServiceUnavailable
@@ -242,9 +247,9 @@
 	return http.StatusBadGateway
 }
 
-// reject answers a request that no replica answered.
+// reject writes the response to a request that no replica answered.
 func (in *Instance) reject(cl *call, status int, reason string, after time.Duration) {
-	in.log.Info().Str("Request", cl.ask.Name).Int("Status", status).Str("Reason", reason).
+	in.log.Info().Str("Request", cl.info.Name).Int("Status", status).Str("Reason", reason).
 		Int64("ConfirmedMs", in.confirmedAge().Milliseconds()).Msg("rejected")
 	in.count("Rejected.Status." + strconv.Itoa(status))
 	if after > 0 {
--- a/internal/relay/view_test.go
+++ b/internal/relay/changelog_test.go
@@ -7,13 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-func TestViewTellsEachChangeOnce(t *testing.T) {
-	// However many changes there are and however many share a revision, one that asks from where it stands until there is
-	// no more has every change behind its revision, once and in order, or is told that it must read everything.
+func TestChangeLogReturnsEachChangeOnce(t *testing.T) {
+	// An Instance that requests changes from its revision until there are no more must receive every later change once
+	// and in order, however many there are and however many share a revision. Otherwise it misses one for good or
+	// applies it twice.
 	rapid.Check(t, func(rt *rapid.T) {
 		first := rapid.Int64Range(0, 5).Draw(rt, "first")
-		var vw view
-		vw.reset(first)
+		var chl changeLog
+		chl.reset(first)
 		var all []Change
 		revision := first
 		for range rapid.IntRange(0, 200).Draw(rt, "revisions") {
@@ -22,10 +23,10 @@
 			for range rapid.IntRange(1, 3).Draw(rt, "changes") {
 				batch = append(batch, Change{Revision: revision})
 			}
-			vw.add(batch, revision)
+			chl.add(batch, revision)
 			all = append(all, batch...)
 		}
-		assert.Equal(rt, vw.revision(), revision)
+		assert.Equal(rt, chl.revision(), revision)
 		have := rapid.Int64Range(first, revision).Draw(rt, "have")
 		var wanted, got int
 		for _, chg := range all {
@@ -34,7 +35,7 @@
 			}
 		}
 		for have < revision {
-			changes, upTo := vw.since(have)
+			changes, upTo := chl.since(have)
 			assert.Assert(rt, upTo > have && len(changes) > 0)
 			assert.Assert(rt, changes[0].Revision == have+1 && changes[len(changes)-1].Revision == upTo)
 			got += len(changes)
@@ -44,16 +45,17 @@
 	})
 }
 
-func TestViewForgets(t *testing.T) {
-	// One that missed more than is kept must not be told the rest as if it were all.
-	var vw view
-	vw.reset(0)
-	for revision := range int64(keptChanges + 10) {
-		vw.add([]Change{{Revision: revision + 1}}, revision+1)
+func TestChangeLogOmitsDiscardedChanges(t *testing.T) {
+	// An Instance that missed more changes than the log holds must receive none, since it would take the rest for all of
+	// them.
+	var chl changeLog
+	chl.reset(0)
+	for revision := range int64(changeLogSize + 10) {
+		chl.add([]Change{{Revision: revision + 1}}, revision+1)
 	}
-	changes, upTo := vw.since(5)
+	changes, upTo := chl.since(5)
 	assert.Equal(t, len(changes), 0)
 	assert.Equal(t, upTo, int64(5))
-	changes, _ = vw.since(10)
+	changes, _ = chl.since(10)
 	assert.Equal(t, changes[0].Revision, int64(11))
 }
--- a/internal/relay/confirm.go
+++ b/internal/relay/confirm.go
@@ -8,32 +8,35 @@
 	"time"
 )
 
-// Confirmations: instances that do not ask the store learn from those that do how fresh their state is.
+// Instances that do not poll the store learn from those that do (pollers) how fresh their state is.
 
-// question asks when the store last confirmed the other instance's state, and what has changed since the revision here.
-type question struct {
+// confirmRequest asks another Instance when the store last confirmed its state, and what has changed after revision
+// Since.
+type confirmRequest struct {
 	Nonce uint64 `cbor:"1,keyasint,omitempty"`
-	Have  int64  `cbor:"2,keyasint,omitempty"`
+	Since int64  `cbor:"2,keyasint,omitempty"`
 }
 
-// confirmation answers a question; one without a nonce is news of a revision and proves nothing.
+// confirmation is the response to a confirmRequest. A confirmation without a nonce only announces a new revision and
+// proves nothing.
 type confirmation struct {
 	Nonce    uint64 `cbor:"1,keyasint,omitempty"`
 	Revision int64  `cbor:"2,keyasint,omitempty"`
-	// AgeMs is how long before this answer the store was asked, rounded up.
+	// AgeMs is the time in ms, rounded up, between the request to the store and this response.
 	AgeMs int64 `cbor:"3,keyasint,omitempty"`
-	// Changes are all after the revision that was asked from up to UpTo, which is below Revision if there are more; none if
-	// the other instance does not know them.
+	// Changes holds every change after the requested revision up to UpTo; it is empty if the sender does not hold them.
 	Changes []Change `cbor:"4,keyasint,omitempty"`
-	UpTo    int64    `cbor:"5,keyasint,omitempty"`
+	// UpTo is less than Revision if there are more changes than fit.
+	UpTo int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// follows tells that the changes can be taken by one that has reached the revision. They come from the network.
-func (conf *confirmation) follows(have int64) bool {
+// appliesTo reports whether the changes can be applied by an Instance that has reached the revision. It validates them
+// since they come from the network.
+func (conf *confirmation) appliesTo(revision int64) bool {
 	if len(conf.Changes) == 0 || conf.UpTo > conf.Revision {
 		return false
 	}
-	last := have + 1
+	last := revision + 1
 	for i := range conf.Changes {
 		chg := &conf.Changes[i]
 		if chg.Revision < last || chg.Revision > conf.UpTo {
@@ -48,57 +51,58 @@
 }
 
 const (
-	// storePollers is how many instances ask the store. Two may be lost at the same time without the others noticing.
+	// storePollers is how many instances poll the store. Two of them may fail at the same time without the others
+	// noticing.
 	storePollers = 3
-	// mostPollers is how many do while none of the first can confirm anything.
-	mostPollers = 8 * storePollers
-	// pollersTried is how many of them are asked one after the other.
-	pollersTried = 3
-	// answerTime is how long a question to another instance waits.
-	answerTime = 120 * time.Millisecond
+	// maxStorePollers is how many instances poll the store at most while the regular pollers cannot confirm anything.
+	maxStorePollers = 8 * storePollers
+	// pollersPerRound is how many pollers an Instance asks in turn.
+	pollersPerRound = 3
+	// confirmTimeout is how long an Instance waits for a confirmation.
+	confirmTimeout = 120 * time.Millisecond
 )
 
-// answer tells when the store last confirmed the state here and what has changed. An instance that was not confirmed at all
-// says nothing.
-func (ns *notes) answer(qst question, to *net.UDPAddr) {
-	if qst.Nonce == 0 || ns.in.confirmed.Load() == 0 {
+// handleConfirmRequest sends when the store last confirmed the state here and what has changed since. An Instance whose
+// state was never confirmed does not respond.
+func (gs *gossip) handleConfirmRequest(req confirmRequest, to *net.UDPAddr) {
+	if req.Nonce == 0 || gs.in.confirmed.Load() == 0 {
 		return
 	}
-	// The revision is read after the age: between the two it can only have become newer than what the age proves.
-	age := ns.in.confirmedAge()
-	conf := confirmation{Nonce: qst.Nonce, AgeMs: age.Milliseconds() + 1}
-	conf.Changes, conf.UpTo = ns.in.view.since(qst.Have)
-	conf.Revision = ns.in.view.revision()
-	ns.post(ns.encode(packet{Answer: &conf}), to)
+	// The revision is read after the age: in between it can only become newer than what the age proves.
+	age := gs.in.confirmedAge()
+	conf := confirmation{Nonce: req.Nonce, AgeMs: age.Milliseconds() + 1}
+	conf.Changes, conf.UpTo = gs.in.changes.since(req.Since)
+	conf.Revision = gs.in.changes.revision()
+	gs.writeDatagram(gs.encode(packet{Confirmation: &conf}), to)
 }
 
-// pollsStore tells that this instance is one of so many that ask the store.
-func (ns *notes) pollsStore(pollers int) bool {
-	ranked := *ns.ranked.Load()
+// pollsStore reports whether this Instance is a poller if the given number of instances poll the store.
+func (gs *gossip) pollsStore(pollers int) bool {
+	ranked := *gs.ranked.Load()
 	return slices.Contains(ranked[:min(pollers, len(ranked))], nil)
 }
 
-// knowsOthers tells that there is another instance.
-func (ns *notes) knowsOthers() bool { return len(*ns.ranked.Load()) > 1 }
+// hasPeers reports whether there is another Instance.
+func (gs *gossip) hasPeers() bool { return len(*gs.ranked.Load()) > 1 }
 
-// somePollers are some of the other instances among so many that ask the store, in random order, so that the questions
-// spread over them.
-func (ns *notes) somePollers(pollers int) []*net.UDPAddr {
-	ranked := *ns.ranked.Load()
+// pickPollers returns up to pollersPerRound of the other pollers, in random order so that the load spreads over them.
+func (gs *gossip) pickPollers(pollers int) []*net.UDPAddr {
+	ranked := *gs.ranked.Load()
 	others := slices.DeleteFunc(slices.Clone(ranked[:min(pollers, len(ranked))]), func(address *net.UDPAddr) bool { return address == nil })
-	rand.Shuffle(len(others), func(one, two int) { others[one], others[two] = others[two], others[one] })
-	return others[:min(pollersTried, len(others))]
+	rand.Shuffle(len(others), func(a, b int) { others[a], others[b] = others[b], others[a] })
+	return others[:min(pollersPerRound, len(others))]
 }
 
-// ask asks another instance when the store last confirmed its state and what has changed since the revision.
-func (ns *notes) ask(ctx context.Context, to *net.UDPAddr, have int64) (confirmation, bool) {
+// requestConfirmation asks another Instance when the store last confirmed its state and what has changed after the
+// revision.
+func (gs *gossip) requestConfirmation(ctx context.Context, to *net.UDPAddr, since int64) (confirmation, bool) {
 	nonce := rand.Uint64() | 1
-	ns.post(ns.encode(packet{Question: &question{Nonce: nonce, Have: have}}), to)
-	return ns.awaitAnswer(ctx, nonce)
+	gs.writeDatagram(gs.encode(packet{Request: &confirmRequest{Nonce: nonce, Since: since}}), to)
+	return gs.awaitConfirmation(ctx, nonce)
 }
 
-func (ns *notes) awaitAnswer(ctx context.Context, nonce uint64) (confirmation, bool) {
-	timer := time.NewTimer(answerTime)
+func (gs *gossip) awaitConfirmation(ctx context.Context, nonce uint64) (confirmation, bool) {
+	timer := time.NewTimer(confirmTimeout)
 	defer timer.Stop()
 	for {
 		select {
@@ -106,7 +110,7 @@
 			return confirmation{}, false
 		case <-timer.C:
 			return confirmation{}, false
-		case conf := <-ns.answers:
+		case conf := <-gs.confirmations:
 			if conf.Nonce == nonce && conf.AgeMs >= 0 {
 				return conf, true
 			}
@@ -114,10 +118,11 @@
 	}
 }
 
-// spread tells all others of the revision that is new here; who does not hear it learns it with its next question.
-func (ns *notes) spread() {
-	raw := ns.encode(packet{Answer: &confirmation{Revision: ns.in.view.revision()}})
-	for _, address := range *ns.peers.Load() {
-		ns.post(raw, address)
+// announceRevision sends the current revision to all other instances. One that misses it learns of it by its next
+// request.
+func (gs *gossip) announceRevision() {
+	raw := gs.encode(packet{Confirmation: &confirmation{Revision: gs.in.changes.revision()}})
+	for _, address := range *gs.peers.Load() {
+		gs.writeDatagram(raw, address)
 	}
 }
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -9,174 +9,185 @@
 )
 
 const (
-	// askShare and hearShare are the parts of the time in which a change must be in force that pass between two questions
-	// to the store, by the few that ask it, and between two questions to those, by all others.
-	askShare  = 0.3
-	hearShare = 0.35
-	// oldShare is the part of that time from which a confirmation is too old to go by: the instance that gave it is itself
-	// out of the store's reach, and would keep back every change that the store has taken since.
-	oldShare = 0.4
-	// askTimeout bounds one call of the store, so that a connection that fell silent costs little more.
-	askTimeout = 600 * time.Millisecond
-	// askAgain is the wait after a question that was not answered, which doubles up to askSeldom: each question is paid
-	// for, refused ones too. lonelyAgain is the wait between those of an instance in the place of others.
-	askAgain    = 150 * time.Millisecond
-	askSeldom   = time.Second
-	lonelyAgain = 3 * time.Second
-	// emptyPause is the wait while there is no configuration, which the store's stale copy is read for so many times before
-	// the store itself is asked: stale reads cost a tenth, and all instances start at once.
-	emptyPause  = 400 * time.Millisecond
-	staleBegins = 10
-	// announceTime is how long an announcement lasts, announceEvery when it is made again.
-	announceTime  = 40 * time.Second
-	announceEvery = 15 * time.Second
-	// announceAgain is the wait after one that failed, which doubles up to announceMost: it lasts on meanwhile, and each
-	// call is paid for, refused ones too.
-	announceAgain = time.Second
-	announceMost  = 8 * time.Second
-	// readyAge is the part of a token's life after which a store out of reach makes the instance unready, so that
-	// callers go where tokens are still good.
-	readyAge = 0.55
+	// pollShare is the interval between two polls of the store by a poller, as a share of ConfigLag.
+	pollShare = 0.3
+	// confirmShare is the interval between two confirmation requests by any other Instance, as a share of ConfigLag.
+	confirmShare = 0.35
+	// maxAgeShare is the maximum age of a usable confirmation, as a share of ConfigLag. An Instance that sends an older
+	// one cannot reach the store itself, and relying on it would hide every change made in the store since.
+	maxAgeShare = 0.4
+	// storeTimeout is the timeout of one call to the store, so that a connection that died silently costs little more.
+	storeTimeout = 600 * time.Millisecond
+	// minPollBackoff is the pause after a failed poll. It doubles up to maxPollBackoff because the store charges for
+	// every call, rejected ones included.
+	minPollBackoff = 150 * time.Millisecond
+	// maxPollBackoff is the maximum pause after a failed poll.
+	maxPollBackoff = time.Second
+	// fallbackInterval is the interval between polls of the store by an Instance that is not a poller, while no poller
+	// confirms anything.
+	fallbackInterval = 3 * time.Second
+	// noConfigPause is the pause between reads of the store while there is no configuration.
+	noConfigPause = 400 * time.Millisecond
+	// maxStaleReads is how many stale reads are tried before the first linearizable call. A stale read costs a tenth of
+	// that, and all instances may start at once.
+	maxStaleReads = 10
+	// announceTTL is how long an announcement lasts.
+	announceTTL = 40 * time.Second
+	// announceInterval is how often the announcement is renewed.
+	announceInterval = 15 * time.Second
+	// minAnnounceBackoff is the pause after a failed announcement. It doubles up to maxAnnounceBackoff because the
+	// previous announcement is still valid and the store charges for every call, rejected ones included.
+	minAnnounceBackoff = time.Second
+	// maxAnnounceBackoff is the maximum pause after a failed announcement.
+	maxAnnounceBackoff = 8 * time.Second
+	// readyTokenShare is the share of TokenLife without a confirmation after which the Instance becomes unready, so
+	// that callers go to instances where their tokens are still accepted.
+	readyTokenShare = 0.55
 )
 
-// follower keeps the configuration and the lists up to date. A few instances ask the store for its revision, and the
-// others ask them; what has changed comes with the answer. There is no watch: it could be silent or cut without a sign, and
-// would prove nothing about the tokens.
+// follower keeps the configuration and the lists of replicas and instances up to date. A few instances, the pollers,
+// poll the store for its revision, and the others ask the pollers; the response includes the changes. The store's watch
+// is not used for this: it may stall or be cut without a sign, and it would prove nothing about the validity of tokens.
 type follower struct {
 	in *Instance
 	// peers are the other instances that are registered, by name.
 	peers map[string]Peer
-	// away tells that the last question was not answered, read that there was an answer at all.
-	away, read bool
-	// again is the wait after the next question that is not answered.
-	again time.Duration
-	// begins counts the stale reads before there was a configuration.
-	begins int
-	// pollers is how many instances are taken to ask the store: more while none of the first can confirm anything.
+	// storeDown reports whether the last call to the store failed.
+	storeDown bool
+	// loaded reports whether the store has been read successfully.
+	loaded bool
+	// backoff is the pause after the next failed poll.
+	backoff time.Duration
+	// staleReads counts the stale reads made before there was a configuration.
+	staleReads int
+	// pollers is the number of instances that are taken to poll the store. It is raised while no poller can confirm
+	// anything.
 	pollers int
-	// lonelyUntil is until when this instance does not ask the store in their place.
-	lonelyUntil time.Time
-	// refusedAt is when the store last refused the configuration.
+	// nextFallback is the time until which this Instance, if it is not a poller, does not poll the store itself.
+	nextFallback time.Time
+	// refusedAt is when a read of the configuration from the store last failed.
 	refusedAt time.Time
 }
 
 func (fl *follower) run(ctx context.Context) error {
-	pause := fl.begin(ctx)
+	pause := fl.bootstrap(ctx)
 	for ctx.Err() == nil {
 		timer := time.NewTimer(pause)
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-			pause = fl.begin(ctx)
-		case from := <-fl.in.notes.news:
-			pause = fl.followNews(ctx, from)
+			pause = fl.bootstrap(ctx)
+		case from := <-fl.in.gossip.newRevisions:
+			pause = fl.syncFromPeer(ctx, from)
 		}
 		timer.Stop()
 	}
 	return ctx.Err()
 }
 
-// begin reads the store's stale copy until that holds a configuration, and follows from then on. Load pattern: all instances
-// of a large fleet start at once, and each question of each to the store itself counts against its rate.
-func (fl *follower) begin(ctx context.Context) time.Duration {
-	if !fl.in.configured() && fl.begins < staleBegins {
-		fl.begins++
+// bootstrap makes stale reads of the store until there is a configuration, and calls sync from then on. All instances
+// of a large fleet may start at once, and each linearizable call counts against the store's rate limit.
+func (fl *follower) bootstrap(ctx context.Context) time.Duration {
+	if !fl.in.configured() && fl.staleReads < maxStaleReads {
+		fl.staleReads++
 		if err := fl.readAll(ctx, true); err != nil {
-			fl.failed(ctx, err)
+			fl.markUnreachable(ctx, err)
 		}
 		if !fl.in.configured() {
-			return emptyPause
+			return noConfigPause
 		}
 	}
-	return fl.follow(ctx)
+	return fl.sync(ctx)
 }
 
-// follow brings the store's state here once and returns when it should again. An instance that the store turns away, or
-// whose pollers it turns away, takes the other way.
-func (fl *follower) follow(ctx context.Context) time.Duration {
+// sync updates the state once and returns the pause until the next call. A poller that the store rejects asks its
+// peers, and an Instance that no poller confirms may poll the store itself.
+func (fl *follower) sync(ctx context.Context) time.Duration {
 	lag := float64(fl.in.opts.ConfigLag)
-	hears := fl.hears()
-	asks := !hears || fl.in.notes.pollsStore(fl.polling())
-	if !asks && fl.hear(ctx) {
-		return time.Duration(hearShare * lag)
+	canAskPeers := fl.canAskPeers()
+	isPoller := !canAskPeers || fl.in.gossip.pollsStore(fl.pollerCount())
+	if !isPoller && fl.confirmByPeers(ctx) {
+		return time.Duration(confirmShare * lag)
 	}
-	if !asks && !fl.lonely() {
-		return askAgain
+	if !isPoller && !fl.shouldFallBack() {
+		return minPollBackoff
 	}
-	answered := fl.ask(ctx)
+	answered := fl.pollStore(ctx)
 	switch {
 	case answered && !fl.in.configured():
-		return emptyPause
-	case answered || hears && asks && fl.hear(ctx):
-		return time.Duration(askShare * lag)
+		return noConfigPause
+	case answered || canAskPeers && isPoller && fl.confirmByPeers(ctx):
+		return time.Duration(pollShare * lag)
 	}
-	fl.widen()
-	pause := max(fl.again, askAgain)
-	fl.again = min(2*pause, askSeldom)
+	fl.addPollers()
+	pause := max(fl.backoff, minPollBackoff)
+	fl.backoff = min(2*pause, maxPollBackoff)
 	return pause
 }
 
-// lonely tells that an instance that is none of those that ask the store should ask it all the same, since none of them
-// answers or is in the store's reach itself. At first others take their place: while the store is away from all, hundreds
-// of instances would ask it in vain each second, and each call is paid for.
-func (fl *follower) lonely() bool {
-	if fl.widen() || time.Now().Before(fl.lonelyUntil) {
+// shouldFallBack reports whether an Instance that is not a poller should poll the store because no poller responds or
+// reaches the store. More pollers are chosen first: otherwise hundreds of instances would call the store each second
+// during an outage, and the store charges for every call.
+func (fl *follower) shouldFallBack() bool {
+	if fl.addPollers() || time.Now().Before(fl.nextFallback) {
 		return false
 	}
-	fl.lonelyUntil = time.Now().Add(lonelyAgain)
+	fl.nextFallback = time.Now().Add(fallbackInterval)
 	return true
 }
 
-// widen takes more instances to ask the store and reports whether there were more to take.
-func (fl *follower) widen() bool {
-	before := fl.polling()
-	fl.pollers = min(2*before, mostPollers)
+// addPollers doubles the number of pollers and reports whether it was below the maximum.
+func (fl *follower) addPollers() bool {
+	before := fl.pollerCount()
+	fl.pollers = min(2*before, maxStorePollers)
 	if fl.pollers == before {
 		return false
 	}
-	fl.in.log.Info().Int("Pollers", fl.pollers).Int64("Revision", fl.in.view.revision()).Msg("no confirmation; more instances ask the store")
+	fl.in.log.Info().Int("Pollers", fl.pollers).Int64("Revision", fl.in.changes.revision()).Msg("no poller confirmed the state; more instances poll the store")
 	return true
 }
 
-// polling is how many instances ask the store. It falls back step by step once they can confirm again.
-func (fl *follower) polling() int { return max(fl.pollers, storePollers) }
+// pollerCount returns the number of instances that poll the store. It is halved with each confirmation until it is back
+// at storePollers.
+func (fl *follower) pollerCount() int { return max(fl.pollers, storePollers) }
 
-// followNews asks the instance that told of a newer revision what has changed. Instances that ask the store do so too:
-// each change would cost as many questions to the store as there are of them.
-func (fl *follower) followNews(ctx context.Context, from *net.UDPAddr) time.Duration {
-	if !fl.hears() || !fl.hearFrom(ctx, from) {
-		return fl.follow(ctx)
+// syncFromPeer requests the changes from the Instance that announced a newer revision. Pollers do this too; otherwise
+// each change would cost one call to the store per poller.
+func (fl *follower) syncFromPeer(ctx context.Context, from *net.UDPAddr) time.Duration {
+	if !fl.canAskPeers() || !fl.confirmByPeer(ctx, from) {
+		return fl.sync(ctx)
 	}
-	return time.Duration(askShare * float64(fl.in.opts.ConfigLag))
+	return time.Duration(pollShare * float64(fl.in.opts.ConfigLag))
 }
 
-// hears tells that other instances can be asked: who knows nothing yet reads the store itself.
-func (fl *follower) hears() bool {
-	return fl.read && fl.in.configured() && fl.in.notes.knowsOthers()
+// canAskPeers reports whether other instances can be asked. An Instance without any state reads the store itself.
+func (fl *follower) canAskPeers() bool {
+	return fl.loaded && fl.in.configured() && fl.in.gossip.hasPeers()
 }
 
-// hear lets another instance confirm the state and reports whether that was possible.
-func (fl *follower) hear(ctx context.Context) bool {
-	for _, from := range fl.in.notes.somePollers(fl.polling()) {
-		if fl.hearFrom(ctx, from) {
-			fl.pollers = fl.polling() / 2
+// confirmByPeers asks pollers in turn to confirm the state and reports whether one did.
+func (fl *follower) confirmByPeers(ctx context.Context) bool {
+	for _, from := range fl.in.gossip.pickPollers(fl.pollerCount()) {
+		if fl.confirmByPeer(ctx, from) {
+			fl.pollers = fl.pollerCount() / 2
 			return true
 		}
 	}
 	return false
 }
 
-// hearRounds bounds the answers that one confirmation takes where many changes do not fit into one.
-const hearRounds = 256
+// maxConfirmRounds is how many responses one confirmation takes at most if the changes do not fit into one.
+const maxConfirmRounds = 256
 
-// hearFrom lets the instance at the address confirm the state here after it has told what has changed. The confirmation
-// counts from the question here less the age that the other one gave, so that neither a frozen process nor a late datagram
-// can stretch a token's life, and what one instance heard from another it never passes on as newer than it was.
-func (fl *follower) hearFrom(ctx context.Context, from *net.UDPAddr) bool {
-	oldest := time.Duration(oldShare * float64(fl.in.opts.ConfigLag))
-	for range hearRounds {
+// confirmByPeer requests the changes from the Instance at the address until the state here has reached its revision,
+// and reports whether that Instance confirmed it. The confirmation dates from the request, minus the age in the
+// response, so that neither a suspended process nor a late datagram can extend a token's lifetime, and a confirmation
+// never becomes younger when it is passed on.
+func (fl *follower) confirmByPeer(ctx context.Context, from *net.UDPAddr) bool {
+	oldest := time.Duration(maxAgeShare * float64(fl.in.opts.ConfigLag))
+	for range maxConfirmRounds {
 		asked := bootTime()
-		conf, ok := fl.in.notes.ask(ctx, from, fl.in.view.revision())
+		conf, ok := fl.in.gossip.requestConfirmation(ctx, from, fl.in.changes.revision())
 		if !ok {
 			fl.in.count("Peers.Unanswered")
 			return false
@@ -189,8 +200,8 @@
 			fl.in.count("Peers.NotFollowed")
 			return false
 		}
-		if fl.in.view.revision() >= conf.Revision {
-			fl.reached()
+		if fl.in.changes.revision() >= conf.Revision {
+			fl.markReachable()
 			fl.confirm(asked - time.Duration(conf.AgeMs)*time.Millisecond)
 			return true
 		}
@@ -198,82 +209,84 @@
 	return false
 }
 
-// ask asks the store itself and reports whether it answered.
-func (fl *follower) ask(ctx context.Context) bool {
-	limited, cancel := context.WithTimeout(ctx, askTimeout)
+// pollStore polls the store and reports whether it responded and the state is up to date.
+func (fl *follower) pollStore(ctx context.Context) bool {
+	limited, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	// The confirmation counts from before the question: a change that the store took after its answer is not in it.
+	// The confirmation dates from before the call: a change that the store accepts after its response is not in it.
 	asked := bootTime()
 	fl.in.count("Store.Questions")
 	revision, err := fl.in.directory.Revision(limited)
 	if err == nil {
-		err = fl.take(ctx, revision, changesTimeout+changesFactor*(bootTime()-asked))
+		err = fl.update(ctx, revision, changesTimeout+changesFactor*(bootTime()-asked))
 	}
 	if err != nil {
-		fl.failed(ctx, err)
+		fl.markUnreachable(ctx, err)
 		return false
 	}
-	fl.reached()
+	fl.markReachable()
 	fl.confirm(asked)
 	return true
 }
 
-// reached notes that the state here is the store's again, by whichever way. Were the outage taken to last on, each replica
-// that leaves would be used for as long as one that an outage hides.
-func (fl *follower) reached() {
-	if fl.away {
-		fl.in.log.Info().Int64("Revision", fl.in.view.revision()).Msg("store in reach again")
+// markReachable records that the state is the store's again, whether read from the store or from a peer. If the outage
+// were taken to continue, each replica that is removed would stay in use for as long as one that is missing because of
+// an outage.
+func (fl *follower) markReachable() {
+	if fl.storeDown {
+		fl.in.log.Info().Int64("Revision", fl.in.changes.revision()).Msg("store reachable again")
 	}
-	fl.away = false
-	fl.again = 0
+	fl.storeDown = false
+	fl.backoff = 0
 }
 
-// confirm notes that the state here was the store's at the boot time.
+// confirm records that the state was the store's at the given boot time.
 func (fl *follower) confirm(at time.Duration) {
 	if int64(at) > fl.in.confirmed.Load() {
 		fl.in.confirmed.Store(int64(at))
 	}
 	if fl.in.configured() {
-		fl.in.beginOnce.Do(func() { close(fl.in.begun) })
+		fl.in.firstConfirmedOnce.Do(func() { close(fl.in.firstConfirmed) })
 	}
 }
 
-func (fl *follower) failed(ctx context.Context, err error) {
+func (fl *follower) markUnreachable(ctx context.Context, err error) {
 	fl.in.count("Store.Failures")
-	if ctx.Err() != nil || fl.away {
+	if ctx.Err() != nil || fl.storeDown {
 		return
 	}
-	fl.away = true
-	fl.in.log.Warn().Err(err).Int64("Revision", fl.in.view.revision()).Msg("store out of reach; the last state stays in use")
+	fl.storeDown = true
+	fl.in.log.Warn().Err(err).Int64("Revision", fl.in.changes.revision()).Msg("store unreachable; the last state stays in use")
 }
 
-// announce tells the other instances where this one is. An instance that starts again takes over the entry that it had:
-// when all start at once, as after a power failure, a new one for each is most of what they ask of the store.
+// announce registers this Instance with the others and renews the entry. A restarted Instance reuses its earlier entry:
+// when all instances restart at once, as after a power failure, creating new entries would be most of the load on the
+// store.
 func (in *Instance) announce(ctx context.Context) error {
 	self := in.self
 	select {
 	case <-ctx.Done():
-	case self = <-in.entry:
-	case <-time.After(announceAgain):
+	case self = <-in.ownEntry:
+	case <-time.After(minAnnounceBackoff):
 	}
-	again := announceAgain
+	backoff := minAnnounceBackoff
 	for ctx.Err() == nil {
-		limited, cancel := context.WithTimeout(ctx, askTimeout)
+		limited, cancel := context.WithTimeout(ctx, storeTimeout)
 		in.count("Store.Announcements")
-		err := in.directory.Announce(limited, self, announceTime)
+		err := in.directory.Announce(limited, self, announceTTL)
 		cancel()
 		if err == nil {
-			again = announceAgain
-			delay.For(ctx, announceEvery)
+			backoff = minAnnounceBackoff
+			delay.For(ctx, announceInterval)
 			continue
 		}
-		delay.For(ctx, again)
-		again = min(2*again, announceMost)
+		delay.For(ctx, backoff)
+		backoff = min(2*backoff, maxAnnounceBackoff)
 	}
 	return ctx.Err()
 }
 
-// fresh reports whether the store confirmed the configuration within the part of a token's life.
-func (in *Instance) fresh(part float64) bool {
-	return in.confirmed.Load() != 0 && in.confirmedAge() < time.Duration(part*float64(in.opts.TokenLife))
+// fresh reports whether the store confirmed the configuration within the given share of TokenLife.
+func (in *Instance) fresh(share float64) bool {
+	return in.confirmed.Load() != 0 && in.confirmedAge() < time.Duration(share*float64(in.opts.TokenLife))
 }
--- /dev/null
+++ b/internal/relay/gossip.go
@@ -0,0 +1,234 @@
+package relay
+
+import (
+	"cmp"
+	"context"
+	"maps"
+	"net"
+	"slices"
+	"sync/atomic"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/fxamacker/cbor/v2"
+	"golang.org/x/sync/errgroup"
+
+	"dandelionsail.example/dandelionsail/internal/delay"
+	"dandelionsail.example/dandelionsail/internal/steer"
+)
+
+const (
+	// summaryPeriod is how often this Instance sends a summary of all its work, which makes up for lost notes.
+	summaryPeriod = time.Second
+	// maxDatagram is the maximum size of a datagram in bytes.
+	maxDatagram = 8 << 10
+	// noteQueueSize is how many notes wait to be sent before new ones are dropped.
+	noteQueueSize = 256
+)
+
+// gossip exchanges notes and confirmations with other instances over UDP. A note is small, soon out of date and made up
+// for by the next summary, so losing one is better than delivering it late.
+type gossip struct {
+	in   *Instance
+	conn *net.UDPConn
+	// peers holds the addresses of the other instances, by name.
+	peers atomic.Pointer[map[string]*net.UDPAddr]
+	queue chan steer.Tell
+	// ranked holds the addresses of all instances in the order in which they are chosen as pollers, nil for this
+	// Instance.
+	ranked atomic.Pointer[[]*net.UDPAddr]
+	// confirmations receives the confirmation for the one request that is open.
+	confirmations chan confirmation
+	// newRevisions receives the address of an Instance that announced a newer revision.
+	newRevisions chan *net.UDPAddr
+}
+
+// packet is one datagram; one of its fields is set. All contents are encoded with numbered fields so that instances of
+// two versions understand each other during a rolling update: unknown numbers are ignored and missing ones are zero. A
+// number is never reassigned to another field.
+type packet struct {
+	Note         *steer.Note     `cbor:"1,keyasint,omitempty"`
+	Request      *confirmRequest `cbor:"2,keyasint,omitempty"`
+	Confirmation *confirmation   `cbor:"3,keyasint,omitempty"`
+}
+
+func openGossip(in *Instance) (*gossip, error) {
+	address, err := net.ResolveUDPAddr("udp", in.opts.PeerListen)
+	if err != nil {
+		return nil, BadOption.Wrap(err, "relay: --peer-listen is %q: give an IP address and a port", in.opts.PeerListen)
+	}
+	conn, err := net.ListenUDP("udp", address)
+	if err != nil {
+		return nil, Errors.NewType("listen").Wrap(err, "relay: --peer-listen %s cannot be used: choose a free address", in.opts.PeerListen)
+	}
+	gs := &gossip{
+		in: in, conn: conn, queue: make(chan steer.Tell, noteQueueSize),
+		confirmations: make(chan confirmation, 1), newRevisions: make(chan *net.UDPAddr, 1),
+	}
+	gs.peers.Store(&map[string]*net.UDPAddr{})
+	gs.ranked.Store(&[]*net.UDPAddr{nil})
+	return gs, nil
+}
+
+func (gs *gossip) run(ctx context.Context) error {
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error { return gs.send(ctx) })
+	group.Go(func() error { return gs.summarize(ctx) })
+	group.Go(func() error { return gs.receive(ctx) })
+	group.Go(func() error {
+		<-ctx.Done()
+		return gs.conn.Close()
+	})
+	return group.Wait()
+}
+
+// enqueue queues a note without blocking. If the queue is full the note is dropped, and the next summary replaces it.
+func (gs *gossip) enqueue(eff steer.Tell) {
+	if gs == nil || len(*gs.peers.Load()) == 0 {
+		return
+	}
+	select {
+	case gs.queue <- eff:
+	default:
+		gs.in.count("Notes.Dropped")
+	}
+}
+
+func (gs *gossip) send(ctx context.Context) error {
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case eff := <-gs.queue:
+			gs.writeNote(eff)
+		}
+	}
+}
+
+func (gs *gossip) writeNote(eff steer.Tell) {
+	raw := gs.encode(packet{Note: &eff.Note})
+	peers := *gs.peers.Load()
+	if eff.To == nil {
+		for _, address := range peers {
+			gs.writeNoteTo(raw, address)
+		}
+		return
+	}
+	for _, name := range eff.To {
+		if address, ok := peers[name]; ok {
+			gs.writeNoteTo(raw, address)
+		}
+	}
+}
+
+func (gs *gossip) writeNoteTo(raw []byte, address *net.UDPAddr) {
+	gs.in.count("Notes.Sent")
+	gs.writeDatagram(raw, address)
+}
+
+func (gs *gossip) encode(pk packet) []byte {
+	raw, err := cbor.Marshal(pk)
+	if err != nil || len(raw) > maxDatagram {
+		gs.in.log.Warn().Err(err).Int("Bytes", len(raw)).Msg("packet not sent: encoding failed or packet too long")
+		return nil
+	}
+	return raw
+}
+
+// writeDatagram sends a datagram. Errors are ignored, since every user of a datagram tolerates its loss.
+func (gs *gossip) writeDatagram(raw []byte, to *net.UDPAddr) {
+	if len(raw) > 0 {
+		_, _ = gs.conn.WriteToUDP(raw, to)
+	}
+}
+
+func (gs *gossip) summarize(ctx context.Context) error {
+	for delay.For(ctx, summaryPeriod) {
+		gs.in.apply(steer.Summarized{})
+	}
+	return ctx.Err()
+}
+
+func (gs *gossip) receive(ctx context.Context) error {
+	buf := make([]byte, maxDatagram)
+	for {
+		count, from, err := gs.conn.ReadFromUDP(buf)
+		if err != nil {
+			if ctx.Err() != nil {
+				return ctx.Err()
+			}
+			continue
+		}
+		gs.handleDatagram(buf[:count], from)
+	}
+}
+
+func (gs *gossip) handleDatagram(raw []byte, from *net.UDPAddr) {
+	var pk packet
+	if err := cbor.Unmarshal(raw, &pk); err != nil || !gs.handlePacket(pk, from) {
+		gs.in.count("Packets.Unreadable")
+		gs.in.log.Warn().Int("Bytes", len(raw)).Msg("packet dropped: malformed")
+	}
+}
+
+// handlePacket processes a packet and reports whether it was valid.
+func (gs *gossip) handlePacket(pk packet, from *net.UDPAddr) bool {
+	switch {
+	case pk.Note != nil:
+		if !pk.Note.Valid() {
+			return false
+		}
+		gs.in.count("Notes.Heard")
+		gs.in.apply(steer.Heard{Note: *pk.Note})
+	case pk.Request != nil:
+		gs.handleConfirmRequest(*pk.Request, from)
+	case pk.Confirmation != nil && pk.Confirmation.Nonce == 0:
+		if pk.Confirmation.Revision > gs.in.changes.revision() {
+			trySend(gs.newRevisions, from)
+		}
+	case pk.Confirmation != nil:
+		trySend(gs.confirmations, *pk.Confirmation)
+	default:
+		return false
+	}
+	return true
+}
+
+func trySend[Value any](to chan Value, value Value) {
+	select {
+	case to <- value:
+	default:
+	}
+}
+
+// setPeers replaces the registered instances. The pollers are those whose names have the lowest hashes, so that all
+// instances with the same list choose the same pollers.
+func (in *Instance) setPeers(peers map[string]Peer) {
+	ranked := slices.Collect(maps.Values(peers))
+	if _, ok := peers[in.self.Name]; !ok {
+		ranked = append(ranked, in.self)
+	}
+	slices.SortFunc(ranked, func(a, b Peer) int {
+		return cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name))
+	})
+	addresses := make(map[string]*net.UDPAddr, len(ranked))
+	var order []*net.UDPAddr
+	var others []steer.Instance
+	for _, peer := range ranked {
+		if peer.Name == in.self.Name {
+			order = append(order, nil)
+			continue
+		}
+		address, err := net.ResolveUDPAddr("udp", peer.Address)
+		if err != nil {
+			in.log.Warn().Str("Instance", peer.Name).Str("Address", peer.Address).Msg("peer skipped: invalid address")
+			continue
+		}
+		addresses[peer.Name] = address
+		others = append(others, steer.Instance{Name: peer.Name, FailureDomain: peer.FailureDomain})
+		order = append(order, address)
+	}
+	in.gossip.peers.Store(&addresses)
+	in.gossip.ranked.Store(&order)
+	in.apply(steer.Peered{Instances: others})
+}
--- a/internal/relay/instance.go
+++ b/internal/relay/instance.go
@@ -24,26 +24,27 @@
 )
 
 const (
-	// lastWords is what is left of the grace when the process ends by itself.
-	lastWords = 400 * time.Millisecond
-	// holdShare is the part of the grace for which requests may still wait for a replica.
-	holdShare = 0.25
-	// idleTimeout is how long a caller's connection may rest where the configuration does not say.
+	// shutdownMargin is the part of the grace period that is left when the process exits by itself.
+	shutdownMargin = 400 * time.Millisecond
+	// drainQueueShare is the share of the grace period during which requests may still wait for a replica.
+	drainQueueShare = 0.25
+	// idleTimeout is how long a caller's keep-alive connection may stay idle.
 	idleTimeout = 60 * time.Second
-	// headerTimeout and maxHeader bound a request's head.
+	// headerTimeout is the maximum time to read a request's header.
 	headerTimeout = 8 * time.Second
-	maxHeader     = 64 << 10
-	// tickPeriod is how often the reducer is told that time passes; while requests wait it asks for more.
+	// maxHeader is the maximum size of a request's header in bytes.
+	maxHeader = 64 << 10
+	// tickPeriod is the interval of Ticked events; while requests wait, the reducer asks for additional ones.
 	tickPeriod = 200 * time.Millisecond
-	// collectAt is the heap growth in percent after which garbage is collected: the heap is a few MB, and memory costs
-	// more than the little processor time.
-	collectAt = 40
+	// gcPercent is the heap growth in percent that starts a garbage collection. The heap is a few MB, and memory costs
+	// more than the little processor time that collecting early takes.
+	gcPercent = 40
 )
 
 // Instance is one running instance.
 type Instance struct {
 	opts Options
-	// run names this run of the instance.
+	// run identifies this run of the Instance.
 	run       string
 	self      Peer
 	directory Directory
@@ -52,35 +53,39 @@
 	registry  metrics.Registry
 	// dropped returns how many lines of the log were dropped.
 	dropped func() int64
-	kept    *http.Transport
-	fresh1  *http.Transport
-	notes   *notes
+	// pooled reuses connections to replicas.
+	pooled *http.Transport
+	// unpooled opens a new connection for each request.
+	unpooled *http.Transport
+	gossip   *gossip
 
 	routing atomic.Pointer[decl.Routing]
-	// confirmed is the boot time at which the question was asked that last confirmed the configuration.
+	// confirmed is the boot time at which the request was sent whose response last confirmed the configuration; 0 if
+	// none did.
 	confirmed atomic.Int64
-	// startedAt is when the instance began to run; begun is closed once there is a configuration that the store confirmed.
+	// startedAt is when Run was called.
 	startedAt time.Time
-	begun     chan struct{}
-	beginOnce sync.Once
-	// entry brings, after the first read of the directory, the entry that this instance keeps or makes.
-	entry chan Peer
-	// view is the state of the directory that is in use here.
-	view     view
+	// firstConfirmed is closed once there is a configuration that the store has confirmed.
+	firstConfirmed     chan struct{}
+	firstConfirmedOnce sync.Once
+	// ownEntry receives, after the first read of the Directory, the entry that this Instance renews or creates.
+	ownEntry chan Peer
+	// changes holds the revision of the Directory that is in use and the last changes up to it.
+	changes  changeLog
 	draining atomic.Bool
-	// background counts the questions and orders under way for which no caller waits.
+	// background counts the load polls and reservation requests under way that no caller waits for.
 	background sync.WaitGroup
 	nextID     atomic.Uint64
 
-	// heard holds when each replica was last heard, by its name.
-	heard sync.Map
-	// mu guards the reducer and the calls.
+	// lastEvents holds the time of the last stream event received from each replica, by replica name.
+	lastEvents sync.Map
+	// mu guards the reducer state and calls.
 	mu    sync.Mutex
 	state *steer.State
 	calls map[steer.RequestID]*call
 }
 
-// New returns an instance that has not started; dropped returns how many lines the logger has dropped.
+// New returns an Instance that has not started. dropped returns how many lines the logger has dropped.
 func New(opts Options, directory Directory, protocol Protocol, logger *log.Logger, dropped func() int64) *Instance {
 	seed := opts.Seed
 	if seed == 0 {
@@ -88,19 +93,19 @@
 	}
 	run := time.Now().UnixMicro()
 	in := &Instance{
-		opts:      opts,
-		run:       opts.Name + "." + strconv.FormatInt(run, 36),
-		self:      Peer{Name: opts.Name, Address: opts.PeerListen, FailureDomain: opts.FailureDomain},
-		directory: directory,
-		protocol:  protocol,
-		log:       logger,
-		registry:  metrics.NewRegistry(),
-		dropped:   dropped,
-		kept:      newTransport(false),
-		fresh1:    newTransport(true),
-		calls:     map[steer.RequestID]*call{},
-		begun:     make(chan struct{}),
-		entry:     make(chan Peer, 1),
+		opts:           opts,
+		run:            opts.Name + "." + strconv.FormatInt(run, 36),
+		self:           Peer{Name: opts.Name, Address: opts.PeerListen, FailureDomain: opts.FailureDomain},
+		directory:      directory,
+		protocol:       protocol,
+		log:            logger,
+		registry:       metrics.NewRegistry(),
+		dropped:        dropped,
+		pooled:         newTransport(false),
+		unpooled:       newTransport(true),
+		calls:          map[steer.RequestID]*call{},
+		firstConfirmed: make(chan struct{}),
+		ownEntry:       make(chan Peer, 1),
 	}
 	in.state = steer.New(steer.Options{
 		Name: opts.Name, FailureDomain: opts.FailureDomain, Run: run, Seed: seed, MissingTime: opts.MissingTime,
@@ -110,57 +115,57 @@
 	return in
 }
 
-// Run serves until the context ends, then drains and returns. A signal on hangups asks for new settings.
+// Run serves until the context ends, then drains and returns. hangups delivers SIGHUP.
 func (in *Instance) Run(ctx context.Context, hangups <-chan os.Signal) error {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	in.startedAt = time.Now()
-	callers, err := listen("listen", in.opts.Listen)
+	callerListener, err := listen("listen", in.opts.Listen)
 	if err != nil {
 		return err
 	}
-	balancer, err := listen("ready-listen", in.opts.ReadyListen)
+	readyListener, err := listen("ready-listen", in.opts.ReadyListen)
 	if err != nil {
 		return err
 	}
-	others, err := listen("peer-listen", in.opts.PeerListen)
+	peerListener, err := listen("peer-listen", in.opts.PeerListen)
 	if err != nil {
 		return err
 	}
-	in.notes, err = openNotes(in)
+	in.gossip, err = openGossip(in)
 	if err != nil {
 		return err
 	}
-	parts, stop := context.WithCancel(context.WithoutCancel(ctx))
+	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	// The library writes what it finds odd about connections to the standard logger; here it goes the way of all lines.
-	oddities := stdlog.New(libraryLog{in.log}, "", 0)
+	// net/http logs connection errors to the standard logger; this redirects them to the structured log.
+	errorLog := stdlog.New(libraryLog{in.log}, "", 0)
 	stdlog.SetOutput(libraryLog{in.log})
 	stdlog.SetFlags(0)
-	front := &http.Server{
-		Handler: http.HandlerFunc(in.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader, ErrorLog: oddities,
+	callerServer := &http.Server{
+		Handler: http.HandlerFunc(in.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader, ErrorLog: errorLog,
 	}
-	ready := &http.Server{Handler: http.HandlerFunc(in.readyz), ReadHeaderTimeout: headerTimeout, ErrorLog: oddities}
-	sharing := http.NewServeMux()
-	sharing.HandleFunc("GET "+sharePath, in.share)
-	share := &http.Server{Handler: sharing, ReadHeaderTimeout: headerTimeout, ErrorLog: oddities}
-	group, parts := errgroup.WithContext(parts)
-	group.Go(func() error { return (&follower{in: in}).run(parts) })
-	group.Go(func() error { return in.announce(parts) })
-	group.Go(func() error { return in.tick(parts) })
-	group.Go(func() error { return in.notes.run(parts) })
-	group.Go(func() error { return in.serveMetrics(parts) })
-	group.Go(func() error { return in.hearHangups(parts, hangups) })
-	group.Go(func() error { return unlessClosed(front.Serve(callers)) })
-	group.Go(func() error { return unlessClosed(ready.Serve(balancer)) })
-	group.Go(func() error { return unlessClosed(share.Serve(others)) })
+	readyServer := &http.Server{Handler: http.HandlerFunc(in.readyz), ReadHeaderTimeout: headerTimeout, ErrorLog: errorLog}
+	peerMux := http.NewServeMux()
+	peerMux.HandleFunc("GET "+sharedConfigPath, in.serveConfig)
+	peerServer := &http.Server{Handler: peerMux, ReadHeaderTimeout: headerTimeout, ErrorLog: errorLog}
+	group, serveCtx := errgroup.WithContext(serveCtx)
+	group.Go(func() error { return (&follower{in: in}).run(serveCtx) })
+	group.Go(func() error { return in.announce(serveCtx) })
+	group.Go(func() error { return in.tick(serveCtx) })
+	group.Go(func() error { return in.gossip.run(serveCtx) })
+	group.Go(func() error { return in.serveMetrics(serveCtx) })
+	group.Go(func() error { return in.handleHangups(serveCtx, hangups) })
+	group.Go(func() error { return ignoreServerClosed(callerServer.Serve(callerListener)) })
+	group.Go(func() error { return ignoreServerClosed(readyServer.Serve(readyListener)) })
+	group.Go(func() error { return ignoreServerClosed(peerServer.Serve(peerListener)) })
 	group.Go(func() error {
 		select {
 		case <-ctx.Done():
-		case <-parts.Done():
+		case <-serveCtx.Done():
 		}
 		defer stop()
-		in.drain(front)
-		return errors.Join(ready.Close(), share.Close())
+		in.drain(callerServer)
+		return errors.Join(readyServer.Close(), peerServer.Close())
 	})
 	in.log.Info().Str("Instance", in.opts.Name).Str("Address", in.opts.Listen).Msg("started")
 	err = group.Wait()
@@ -171,15 +176,15 @@
 	return err
 }
 
-// hearHangups notes that new settings were asked for. All of them are read at the start, from flags and environment, so
-// there is nothing to read again; left to its default, the signal would end the process with its requests.
-func (in *Instance) hearHangups(ctx context.Context, hangups <-chan os.Signal) error {
+// handleHangups logs that SIGHUP has no effect: all settings come from flags and the environment and are read only at
+// startup. Without a handler the signal would end the process and its open requests.
+func (in *Instance) handleHangups(ctx context.Context, hangups <-chan os.Signal) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-hangups:
-			in.log.Info().Str("Instance", in.opts.Name).Msg("hangup: settings are read at the start only; restart to change them")
+			in.log.Info().Str("Instance", in.opts.Name).Msg("SIGHUP ignored: settings are read at startup only; restart to change them")
 		}
 	}
 }
@@ -187,19 +192,19 @@
 func listen(flag, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, Errors.NewType("listen").Wrap(err, "relay: --%s %s cannot be used; choose a free address", flag, address)
+		return nil, Errors.NewType("listen").Wrap(err, "relay: --%s %s cannot be used: choose a free address", flag, address)
 	}
 	return listener, nil
 }
 
-func unlessClosed(err error) error {
+func ignoreServerClosed(err error) error {
 	if err == http.ErrServerClosed {
 		return nil
 	}
 	return err
 }
 
-// install brings a version into force; an older one than that in force is left out.
+// install puts a configuration into force unless one of the same or a later version is in force.
 func (in *Instance) install(routing *decl.Routing) {
 	if routing == nil {
 		return
@@ -212,7 +217,7 @@
 	in.log.Info().Int64("Version", routing.Version).Int("Routes", len(routing.Routes)).Msg("configuration in force")
 }
 
-// tick tells the reducer that time passes.
+// tick sends the reducer a Ticked event in each tickPeriod.
 func (in *Instance) tick(ctx context.Context) error {
 	for ctx.Err() == nil {
 		delay.For(ctx, tickPeriod)
@@ -227,7 +232,7 @@
 	return in.state.Waiting()
 }
 
-// apply hands an event to the reducer and carries out what it decides; nothing of that blocks.
+// apply passes an event to the reducer and performs the effects that it returns. None of them blocks.
 func (in *Instance) apply(ev steer.Event) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -239,26 +244,26 @@
 func (in *Instance) perform(eff steer.Effect) {
 	switch eff := eff.(type) {
 	case steer.Send:
-		in.mail(eff.ID, eff)
+		in.deliver(eff.ID, eff)
 	case steer.Finish:
-		in.mail(eff.ID, eff)
+		in.deliver(eff.ID, eff)
 	case steer.Abort:
 		if cl, ok := in.calls[eff.ID]; ok {
 			cl.abort(eff.Attempt)
 		}
 	case steer.Tell:
-		in.notes.tell(eff)
+		in.gossip.enqueue(eff)
 	case steer.Wake:
 		time.AfterFunc(eff.After, func() { in.apply(steer.Ticked{}) })
 	case steer.Survey:
-		in.survey(eff)
+		in.pollLoads(eff)
 	case steer.Line:
-		in.logLine(eff)
+		in.logDecision(eff)
 	}
 }
 
-func (in *Instance) mail(id steer.RequestID, eff steer.Effect) {
+func (in *Instance) deliver(id steer.RequestID, eff steer.Effect) {
 	if cl, ok := in.calls[id]; ok {
-		cl.mail <- eff
+		cl.effects <- eff
 	}
 }
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -9,17 +9,17 @@
 	"dandelionsail.example/dandelionsail/internal/steer"
 )
 
-// answered tells the reducer what a replica's answer says of its rate limit; sent is when the request left.
-func (in *Instance) answered(replica steer.Replica, sent time.Time, reply Reply) {
+// recordRateLimit passes the rate limit in a replica's response to the reducer. sent is when the request was sent.
+func (in *Instance) recordRateLimit(replica steer.Replica, sent time.Time, reply Reply) {
 	in.apply(steer.Answered{Replica: replica.Name, Born: replica.Born, Sent: sent, Limited: reply.Limited, PerS: reply.Limit})
 }
 
-// limitPrefix begins the names of the gauges of rate limits in force.
+// limitPrefix is the name prefix of the gauges of the rate limits in force.
 const limitPrefix = "Limits."
 
-// limitMetrics shows the rate limits in force: the limit, what all instances sent under it that is known here, and what this
-// one sent.
-func (in *Instance) limitMetrics() {
+// updateLimitMetrics replaces the gauges of the rate limits in force: for each limit its rate, the recent sends of all
+// instances that are known here, and the sends of this Instance.
+func (in *Instance) updateLimitMetrics() {
 	in.mu.Lock()
 	limits := in.state.Limits(time.Now())
 	in.mu.Unlock()
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -9,26 +9,26 @@
 	"dandelionsail.example/dandelionsail/internal/steer"
 )
 
-// libraryLog takes the lines of the standard logger.
+// libraryLog redirects the output of the standard logger to the structured log.
 type libraryLog struct{ to *log.Logger }
 
-// maxLibraryLine bounds one of them; they may quote what a peer sent.
-const maxLibraryLine = 120
+// maxLibraryText is the maximum length of a redirected line, which may quote input from a peer.
+const maxLibraryText = 120
 
 // Write implements io.Writer.
 func (ll libraryLog) Write(line []byte) (int, error) {
-	text := strings.TrimSpace(string(line[:min(len(line), maxLibraryLine)]))
-	ll.to.Warn().Str("Library", text).Msg("connection odd")
+	text := strings.TrimSpace(string(line[:min(len(line), maxLibraryText)]))
+	ll.to.Warn().Str("Library", text).Msg("net/http reported a connection error")
 	return len(line), nil
 }
 
-// logLine writes one decision.
-func (in *Instance) logLine(line steer.Line) {
+// logDecision logs one decision of the reducer and counts it.
+func (in *Instance) logDecision(line steer.Line) {
 	in.count("Decisions.Count." + line.Message)
 	entry := in.log.Info()
-	text(entry, "Request", line.Request)
-	text(entry, "Replica", line.Replica)
-	text(entry, "Reason", string(line.Reason))
+	addString(entry, "Request", line.Request)
+	addString(entry, "Replica", line.Replica)
+	addString(entry, "Reason", string(line.Reason))
 	if line.Attempt > 0 {
 		entry.Int("Attempt", line.Attempt)
 	}
@@ -57,7 +57,7 @@
 }
 
 func logEnd(entry *log.Entry, end *steer.End) {
-	text(entry, "Route", end.Route)
+	addString(entry, "Route", end.Route)
 	entry.Float64("Value", math.Round(end.Value*100)/100).Int64("GoalMs", end.Goal.Milliseconds())
 	if end.Back {
 		entry.Bool("Back", true)
@@ -73,7 +73,7 @@
 	}
 }
 
-func text(entry *log.Entry, key, value string) {
+func addString(entry *log.Entry, key, value string) {
 	if value != "" {
 		entry.Str(key, value)
 	}
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -11,10 +11,10 @@
 	"dandelionsail.example/dandelionsail/internal/meter"
 )
 
-// serveMetrics serves counters, gauges and histograms on an address of their own, if one is set.
+// serveMetrics serves counters, gauges and histograms at --metrics-listen, if it is set.
 func (in *Instance) serveMetrics(ctx context.Context) error {
 	if err := meter.Serve(ctx, in.opts.MetricsListen, http.HandlerFunc(in.metrics)); err != nil {
-		return BadOption.Wrap(err, "relay: --metrics-listen %s cannot be used; choose a free address", in.opts.MetricsListen)
+		return BadOption.Wrap(err, "relay: --metrics-listen %s cannot be used: choose a free address", in.opts.MetricsListen)
 	}
 	return nil
 }
@@ -26,8 +26,8 @@
 		in.gauge("Config.Version", routing.Version)
 	}
 	in.gauge("Config.ConfirmedAgeMs", in.confirmedAge().Milliseconds())
-	in.gauge("Peers.Known", int64(len(*in.notes.peers.Load())))
-	in.limitMetrics()
+	in.gauge("Peers.Known", int64(len(*in.gossip.peers.Load())))
+	in.updateLimitMetrics()
 	in.gauge("Log.Dropped", in.dropped())
 	in.gauge("Process.Goroutines", int64(runtime.NumGoroutine()))
 	var memory runtime.MemStats
@@ -45,11 +45,11 @@
 	metrics.GetOrRegisterCounter(name, in.registry).Inc(1)
 }
 
-func (in *Instance) time(name string, period time.Duration) {
+func (in *Instance) recordTime(name string, period time.Duration) {
 	metrics.GetOrRegisterTimer(name, in.registry).Update(period)
 }
 
-// confirmedAge is how long ago the store confirmed the configuration.
+// confirmedAge returns the time since the store last confirmed the configuration.
 func (in *Instance) confirmedAge() time.Duration {
 	return bootTime() - time.Duration(in.confirmed.Load())
 }
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -1,6 +1,6 @@
-// Package relay is the shell of an instance that passes requests on as callers sent them, in the upstreams' own
-// protocol: it reads and writes, package steer decides. What it speaks with callers, upstreams and the store lies behind
-// the ports of this file, which are implemented elsewhere.
+// Package relay runs an Instance, which forwards callers' requests as they were sent, in the upstreams' own protocol.
+// The reducer in package steer makes the decisions; this package does the I/O. Directory and Protocol, declared in this
+// file, abstract the store and the headers of callers and upstreams. They are implemented elsewhere.
 package relay
 
 import (
@@ -15,135 +15,150 @@
 )
 
 var (
-	// Errors groups what this package returns.
+	// Errors is the namespace of the errors that this package returns.
 	Errors = errorx.NewNamespace("relay")
-	// BadOption tells that a setting cannot be used.
+	// BadOption reports a setting that cannot be used.
 	BadOption = Errors.NewType("bad_option")
-	// OrderFailed tells that a replica did not carry out an order.
+	// OrderFailed reports that a replica or another Instance did not carry out a request of this Instance.
 	OrderFailed = Errors.NewType("order_failed")
 )
 
 // Directory is the store that holds the configuration, the replicas and the other instances.
 type Directory interface {
-	// Revision returns, linearizably, the number of the last change to any of it.
+	// Revision returns the revision of the last change to any of them, read linearizably.
 	Revision(ctx context.Context) (int64, error)
-	// Read returns a page of it, the first after "" and each other one after the place that the one before returned, until
-	// that is "". A stale one costs the store little and may be some seconds old.
+	// Read returns one page of the contents. after is empty for the first page, and the next of the preceding page for
+	// each later one; next is empty on the last page. A stale read costs the store little and may be some seconds old.
 	Read(ctx context.Context, stale bool, after string) (page Snapshot, next string, err error)
-	// Changes returns, in order, every change after the revision up to the one that it returns, of which it can prove that
-	// none is missing, and an error if there is none. There may be more.
+	// Changes returns, in order, every change after the given revision up to the revision that it returns. It returns
+	// an error if there is none or if it cannot prove that none is missing. There may be more changes after the
+	// returned revision.
 	Changes(ctx context.Context, after int64) ([]Change, int64, error)
-	// Routing returns the configuration as it was at the revision or later.
+	// Routing returns the configuration as of the given revision or later.
 	Routing(ctx context.Context, atLeast int64) (*decl.Routing, error)
-	// Announce registers this instance for as long as it announces itself again within the time. The peer's lease, if there
-	// is one, is of an entry that says the same.
+	// Announce registers this Instance until the TTL expires; announcing again renews it. A nonzero peer.Lease is the
+	// lease of an existing entry with the same contents, which is renewed instead of being written again.
 	Announce(ctx context.Context, peer Peer, ttl time.Duration) error
 }
 
-// Snapshot is what a Directory holds, or a page of it.
+// Snapshot is the contents of a Directory, or one page of them.
 type Snapshot struct {
-	// Revision is that of the last change that it is sure to hold; over several pages that of the first.
+	// Revision is the revision up to which all changes are certainly included; for several pages it is the first
+	// page's.
 	Revision int64
-	// Routing is nil if there is no configuration that can be read.
+	// Routing is nil if there is no readable configuration.
 	Routing  *decl.Routing
 	Replicas []steer.Replica
 	Peers    []Peer
 }
 
-// Peer is another instance and where it hears notes.
+// Peer is another Instance and the address at which it receives notes.
 type Peer struct {
 	Name    string `cbor:"1,keyasint,omitempty"`
 	Address string `cbor:"2,keyasint,omitempty"`
-	// FailureDomain is where it runs.
+	// FailureDomain is the failure domain in which the Instance runs.
 	FailureDomain string `cbor:"3,keyasint,omitempty"`
-	// Lease is by what the Directory keeps the entry, 0 if that is not known.
+	// Lease is the Directory's lease on the entry, 0 if it is not known.
 	Lease int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Change is one change in a Directory. One of the fields behind Revision is set, none if what changed concerns nobody.
+// Change is one change in a Directory. At most one field after Revision is set; none is set if the change is irrelevant
+// to Instances.
 type Change struct {
 	Revision int64 `cbor:"1,keyasint,omitempty"`
-	// Replica and Peer were registered, or registered anew with other figures.
+	// Replica was registered, or registered again with other values.
 	Replica *steer.Replica `cbor:"2,keyasint,omitempty"`
-	Peer    *Peer          `cbor:"3,keyasint,omitempty"`
-	// LeftReplica and LeftPeer name what is registered no longer.
+	// Peer was registered, or registered again with other values.
+	Peer *Peer `cbor:"3,keyasint,omitempty"`
+	// LeftReplica names a replica that is no longer registered.
 	LeftReplica string `cbor:"4,keyasint,omitempty"`
-	LeftPeer    string `cbor:"5,keyasint,omitempty"`
-	// Routing tells that the configuration is another.
+	// LeftPeer names an Instance that is no longer registered.
+	LeftPeer string `cbor:"5,keyasint,omitempty"`
+	// Routing reports whether the configuration changed.
 	Routing bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Protocol translates the headers of requests and answers.
+// Protocol translates the headers of requests and responses.
 type Protocol interface {
-	// Ask reads what a caller's request says of itself.
+	// Ask parses the headers of a caller's request.
 	Ask(req *http.Request) Ask
-	// Dress sets what a replica is told beside the caller's own headers, and takes away what it must not see.
+	// Dress sets the headers that a replica is sent in addition to the caller's, and removes those that it must not
+	// see.
 	Dress(header http.Header, dr Dress)
-	// Reply reads what a replica's answer says of itself.
+	// Reply parses the headers of a replica's response.
 	Reply(resp *http.Response) Reply
-	// Reserve returns the request that sets memory aside at a replica, or renews that.
+	// Reserve returns the request that reserves memory at a replica or renews a reservation.
 	Reserve(ctx context.Context, replica steer.Replica, tk Ticket) (*http.Request, error)
-	// Survey returns the request for a replica's report of its load, Load reads the answer.
+	// Survey returns the request for a replica's load report.
 	Survey(ctx context.Context, replica steer.Replica) (*http.Request, error)
+	// Load parses a load report: the number of requests that run or wait at the replica, and the memory in tokens that
+	// they use.
 	Load(body []byte) (running int, used int64, err error)
-	// Release returns the request that gives the memory back.
+	// Release returns the request that releases a reservation.
 	Release(ctx context.Context, replica steer.Replica, id string) (*http.Request, error)
 }
 
-// Ticket is memory set aside at a replica.
+// Ticket is a reservation of memory at a replica.
 type Ticket struct {
-	// ID names it, unique to one attempt at one replica.
+	// ID identifies the reservation; it is unique to one attempt at one replica.
 	ID     string
 	Tokens int64
-	// Hold is how long it lasts without being renewed.
+	// Hold is how long the reservation lasts unless it is renewed.
 	Hold time.Duration
 }
 
-// Ask is what a caller's request says of itself.
+// Ask is the information in a caller's request headers.
 type Ask struct {
-	// Name is the caller's name for the request.
+	// Name is the request ID that the caller chose.
 	Name string
-	// Token is the caller's, empty if it gave none.
+	// Token is the caller's access token, empty if it sent none.
 	Token string
-	// Patience is how long the caller waits, 0 if it did not say.
+	// Patience is how long the caller waits for the response, 0 if it did not say.
 	Patience time.Duration
-	// Prompt and Answer are in tokens.
-	Prompt, Answer int64
-	// After is the last event that the caller has of a stream that it resumes.
+	// Prompt is the length of the prompt in tokens.
+	Prompt int64
+	// Answer is the maximum length of the response in tokens.
+	Answer int64
+	// After is the ID of the last event that the caller received of a stream that it resumes.
 	After string
 }
 
-// Dress is what a replica is told of a request.
+// Dress is the information that a replica is sent with a request.
 type Dress struct {
-	// Replica names the one that is meant.
+	// Replica names the replica that the request is meant for.
 	Replica string
 	// Organisation is the caller's, empty on public routes.
 	Organisation string
 	// Left is the time until the deadline.
 	Left time.Duration
-	// Priority is 0 for the most urgent, negative if none is said.
+	// Priority is 0 for the most urgent requests and negative if none is sent.
 	Priority int
-	// Helpers are the replicas that read parts of the prompt.
+	// Helpers are the replicas that process parts of the prompt.
 	Helpers []DressHelper
-	// After is the last event that the caller has.
+	// After is the ID of the last event that the caller received.
 	After string
 }
 
-// DressHelper is a replica that reads a part of the prompt; Ticket names the memory that it set aside, if any.
+// DressHelper is a replica that processes a part of the prompt. Ticket is the ID of its reservation, empty if it has
+// none.
 type DressHelper struct{ Address, Ticket string }
 
-// Reply is what a replica's answer says of itself.
+// Reply is the information in a replica's response headers.
 type Reply struct {
-	// Name is the request's as the replica heard it.
+	// Name is the request ID as the replica received it.
 	Name string
-	// Sealed tells that the answer bears its replica's signature.
+	// Sealed reports whether the response carries the replica's signature.
 	Sealed bool
-	// NotRun is the replica's word that it ran nothing, Misdirected that it is another one than was meant.
-	NotRun, Misdirected bool
-	RetryAfter          time.Duration
-	// At names the replica at fault, empty if that is the one asked or unknown.
+	// NotRun reports that the replica states that it did not run the request.
+	NotRun bool
+	// Misdirected reports that the response came from another replica than the one that the request was meant for.
+	Misdirected bool
+	// RetryAfter is how long the replica asks callers to wait before they try again, 0 if it does not say.
+	RetryAfter time.Duration
+	// At names the replica at fault, empty if it is unknown or the one that was sent the request.
 	At string
-	// Limited tells that the replica names a rate limit, Limit is that in requests a second from all instances together.
+	// Limited reports whether the replica announces a rate limit.
 	Limited bool
-	Limit   float64
+	// Limit is that rate limit in requests per second, summed over all Instances.
+	Limit float64
 }
--- a/internal/relay/ready.go
+++ b/internal/relay/ready.go
@@ -9,22 +9,23 @@
 	"dandelionsail.example/dandelionsail/internal/steer"
 )
 
-// Readiness and the way out: when the platform may send callers here, and what ends before the process does.
+// Readiness probes and graceful shutdown.
 
-// drain stops without cutting an answer: readiness goes off, the balancer gets time to see it while connections are
-// still taken, and what was begun finishes.
-func (in *Instance) drain(front *http.Server) {
+// drain stops the server without cutting responses. Readiness goes off first; the server continues to accept
+// connections for DrainNotice, so that the load balancer can notice, and open requests then finish within the grace
+// period.
+func (in *Instance) drain(callerServer *http.Server) {
 	now := time.Now()
-	ended := now.Add(in.opts.Grace - lastWords)
+	ended := now.Add(in.opts.Grace - shutdownMargin)
 	in.draining.Store(true)
-	in.apply(steer.Draining{Hold: now.Add(time.Duration(holdShare * float64(in.opts.Grace))), Stop: ended.Add(-lastWords)})
+	in.apply(steer.Draining{Hold: now.Add(time.Duration(drainQueueShare * float64(in.opts.Grace))), Stop: ended.Add(-shutdownMargin)})
 	in.log.Info().Str("Instance", in.opts.Name).Int("Open", in.open()).Msg("draining")
 	delay.For(context.Background(), in.opts.DrainNotice)
 	limited, cancel := context.WithDeadline(context.Background(), ended)
 	defer cancel()
-	if err := front.Shutdown(limited); err != nil {
-		in.log.Warn().Int("Open", in.open()).Err(err).Msg("grace is over with requests open")
-		_ = front.Close()
+	if err := callerServer.Shutdown(limited); err != nil {
+		in.log.Warn().Int("Open", in.open()).Err(err).Msg("grace period expired with open requests")
+		_ = callerServer.Close()
 	}
 	in.background.Wait()
 }
@@ -35,7 +36,7 @@
 	return in.state.Open()
 }
 
-// readyz tells the balancer whether to send callers here.
+// readyz answers the load balancer's readiness probe.
 func (in *Instance) readyz(w http.ResponseWriter, _ *http.Request) {
 	if !in.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -43,7 +44,7 @@
 }
 
 func (in *Instance) ready() bool {
-	if in.draining.Load() || !in.configured() || !in.fresh(readyAge) {
+	if in.draining.Load() || !in.configured() || !in.fresh(readyTokenShare) {
 		return false
 	}
 	in.mu.Lock()
--- /dev/null
+++ b/internal/relay/reservation.go
@@ -0,0 +1,145 @@
+package relay
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"dandelionsail.example/dandelionsail/internal/delay"
+	"dandelionsail.example/dandelionsail/internal/steer"
+)
+
+// Memory is reserved at helpers for a prompt that exceeds one engine's memory. A reservation is short and is renewed
+// while its request runs, so that the memory of a crashed Instance is soon free again. Each attempt has reservations of
+// its own, so that an order carried out late cannot release another request's memory.
+const (
+	// reservationTTL is how long a reservation lasts unless it is renewed. It is less than an engine may hold unused
+	// memory.
+	reservationTTL = 3500 * time.Millisecond
+	// maxUnusedReservation is how long memory may be reserved before its request's response begins. Engines may hold
+	// memory that no request uses for nine seconds, and the last renewal remains in effect for reservationTTL.
+	maxUnusedReservation = 5 * time.Second
+	// orderTimeout is the timeout of one order.
+	orderTimeout = 500 * time.Millisecond
+	// releaseAttempts is the maximum number of times that a release is sent if it fails.
+	releaseAttempts = 3
+	// maxOrderResponse is the maximum number of bytes read of the response to an order.
+	maxOrderResponse = 4 << 10
+)
+
+// reservationID returns the ID of the reservation at a helper, empty if it reserves nothing.
+func (att *attempt) reservationID(helper int) string {
+	if att.eff.Helpers[helper].Tokens == 0 {
+		return ""
+	}
+	return att.in.run + "." + strconv.FormatUint(uint64(att.cl.id), 36) + "." + strconv.Itoa(att.eff.Attempt) + "." + strconv.Itoa(helper)
+}
+
+// reserve reserves the memory at all helpers concurrently and renews it until the context ends. If an order fails,
+// reserve releases the reservations and returns the name of the first helper, in the order of Helpers, whose order
+// failed.
+func (att *attempt) reserve(ctx context.Context) (refusedBy string, ok bool) {
+	group, limited := errgroup.WithContext(ctx)
+	refusals := make([]string, len(att.eff.Helpers))
+	for i := range att.eff.Helpers {
+		if att.eff.Helpers[i].Tokens == 0 {
+			continue
+		}
+		group.Go(func() error {
+			err := att.order(limited, i, true)
+			if err != nil {
+				refusals[i] = att.eff.Helpers[i].Name
+			}
+			return err
+		})
+	}
+	if !hasReservations(&att.eff) {
+		return "", true
+	}
+	if err := group.Wait(); err != nil {
+		att.in.log.Info().Str("Request", att.cl.info.Name).Err(err).Msg("memory reservation failed")
+		att.release()
+		for _, name := range refusals {
+			if name != "" {
+				return name, false
+			}
+		}
+		return "", false
+	}
+	att.renewalDone = make(chan struct{})
+	go att.renew(ctx)
+	return "", true
+}
+
+// renew renews the reservations until the attempt's context ends. release waits for it to return, so that no renewal
+// follows a release.
+func (att *attempt) renew(ctx context.Context) {
+	defer close(att.renewalDone)
+	for delay.For(ctx, steer.TicketRenew) {
+		for i := range att.eff.Helpers {
+			if att.eff.Helpers[i].Tokens == 0 {
+				continue
+			}
+			if err := att.order(ctx, i, true); err != nil && ctx.Err() == nil {
+				att.in.log.Warn().Str("Request", att.cl.info.Name).Str("Replica", att.eff.Helpers[i].Name).Err(err).Msg("memory reservation not renewed")
+			}
+		}
+	}
+}
+
+// release releases the reservations in the background, since the caller already has its response.
+func (att *attempt) release() {
+	if !hasReservations(&att.eff) {
+		return
+	}
+	att.cancel()
+	in := att.in
+	in.background.Go(func() {
+		if att.renewalDone != nil {
+			<-att.renewalDone
+		}
+		for i := range att.eff.Helpers {
+			if att.eff.Helpers[i].Tokens == 0 {
+				continue
+			}
+			for range releaseAttempts {
+				if att.order(context.Background(), i, false) == nil {
+					break
+				}
+			}
+		}
+	})
+}
+
+// order sends one reserve or release order and returns an error unless the replica carried it out.
+func (att *attempt) order(ctx context.Context, helper int, reserve bool) error {
+	limited, cancel := context.WithTimeout(ctx, orderTimeout)
+	defer cancel()
+	to := att.eff.Helpers[helper]
+	var req *http.Request
+	var err error
+	if reserve {
+		req, err = att.in.protocol.Reserve(limited, to.Replica, Ticket{ID: att.reservationID(helper), Tokens: to.Tokens, Hold: reservationTTL})
+	} else {
+		req, err = att.in.protocol.Release(limited, to.Replica, att.reservationID(helper))
+	}
+	if err != nil {
+		return err
+	}
+	sent := time.Now()
+	resp, err := att.in.pooled.RoundTrip(req)
+	if err != nil {
+		return OrderFailed.Wrap(err, "relay: %s did not answer a reservation order: another replica is used", to.Name)
+	}
+	att.in.recordRateLimit(to.Replica, sent, att.in.protocol.Reply(resp))
+	defer func() { _ = resp.Body.Close() }()
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxOrderResponse))
+	if resp.StatusCode != http.StatusOK {
+		return OrderFailed.New("relay: %s answered a reservation order with status %d: another replica is used", to.Name, resp.StatusCode)
+	}
+	return nil
+}
--- a/internal/relay/share.go
+++ b/internal/relay/share.go
@@ -13,32 +13,34 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// The configuration as one instance hands it to another that the store turns away. Without it such an instance could hear
-// that there is a new one but not have it, and would have to refuse all callers with tokens when their time is over.
+// Instances serve their configuration to peers that the store rejects. Otherwise such a peer would learn of a new
+// configuration without being able to read it, and would have to refuse all callers with tokens once the token lifetime
+// has passed.
 
-// shared is what an instance hands out: the configuration as it was at the revision or later.
-type shared struct {
+// sharedConfig is the configuration that an Instance serves to its peers, as of the revision or later.
+type sharedConfig struct {
 	Revision int64         `cbor:"1,keyasint,omitempty"`
 	Routing  *decl.Routing `cbor:"2,keyasint,omitempty"`
 }
 
 const (
-	sharePath = "/routing"
-	// shareTime bounds the asking of another instance for the configuration.
-	shareTime = 600 * time.Millisecond
-	// maxShared bounds what is read of its answer; ten thousand routes take some 3 MB.
-	maxShared = 16 << 20
-	// turnedAwayTime is how long after a refusal other instances are asked before the store, whose refusals are paid for.
-	turnedAwayTime = 3 * time.Second
+	sharedConfigPath = "/routing"
+	// sharedConfigTimeout is the timeout for fetching the configuration from another Instance.
+	sharedConfigTimeout = 600 * time.Millisecond
+	// maxSharedConfig is the maximum number of bytes read of the response; ten thousand routes take about 3 MB.
+	maxSharedConfig = 16 << 20
+	// refusalCooldown is how long after a failed read of the configuration peers are asked before the store, since the
+	// store charges for rejected calls too.
+	refusalCooldown = 3 * time.Second
 )
 
-// share hands out the configuration.
-func (in *Instance) share(w http.ResponseWriter, _ *http.Request) {
-	// The revision is read before the configuration, which can only have become newer in between.
-	answer := shared{Revision: in.view.revision()}
-	answer.Routing = in.routing.Load()
-	raw, err := cbor.Marshal(answer)
-	if err != nil || answer.Routing == nil {
+// serveConfig responds with the configuration.
+func (in *Instance) serveConfig(w http.ResponseWriter, _ *http.Request) {
+	// The revision is read first: in between the configuration can only become newer.
+	shared := sharedConfig{Revision: in.changes.revision()}
+	shared.Routing = in.routing.Load()
+	raw, err := cbor.Marshal(shared)
+	if err != nil || shared.Routing == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -48,44 +50,44 @@
 	_, _ = w.Write(raw)
 }
 
-// routingOf returns the configuration of the instance at the address, as it was at the revision or later.
-func (in *Instance) routingOf(ctx context.Context, from *net.UDPAddr, atLeast int64) (*decl.Routing, error) {
-	limited, cancel := context.WithTimeout(ctx, shareTime)
+// fetchRouting returns the configuration of the Instance at the address, as of the revision or later.
+func (in *Instance) fetchRouting(ctx context.Context, from *net.UDPAddr, atLeast int64) (*decl.Routing, error) {
+	limited, cancel := context.WithTimeout(ctx, sharedConfigTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(limited, http.MethodGet, "http://"+from.String()+sharePath, nil)
+	req, err := http.NewRequestWithContext(limited, http.MethodGet, "http://"+from.String()+sharedConfigPath, nil)
 	if err != nil {
-		return nil, BadOption.Wrap(err, "relay: the instance at %s cannot be asked for the configuration", from)
+		return nil, BadOption.Wrap(err, "relay: cannot build a request to the instance at %s: check its registered address", from)
 	}
-	resp, err := in.fresh1.RoundTrip(req)
+	resp, err := in.unpooled.RoundTrip(req)
 	if err != nil {
-		return nil, OrderFailed.Wrap(err, "relay: the instance at %s does not hand out the configuration; the store is asked", from)
+		return nil, OrderFailed.Wrap(err, "relay: the instance at %s did not send the configuration: the store is read instead", from)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxShared))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxSharedConfig))
 	if err != nil {
-		return nil, OrderFailed.Wrap(err, "relay: the instance at %s broke off handing out the configuration; the store is asked", from)
+		return nil, OrderFailed.Wrap(err, "relay: the instance at %s sent an incomplete configuration: the store is read instead", from)
 	}
-	var answer shared
-	if err := cbor.Unmarshal(raw, &answer); err != nil || answer.Routing == nil {
-		return nil, OrderFailed.New("relay: what the instance at %s handed out cannot be read; the store is asked", from)
+	var shared sharedConfig
+	if err := cbor.Unmarshal(raw, &shared); err != nil || shared.Routing == nil {
+		return nil, OrderFailed.New("relay: the instance at %s sent a malformed configuration: the store is read instead", from)
 	}
-	if answer.Revision < atLeast {
-		return nil, OrderFailed.New("relay: the instance at %s has the configuration of revision %d, older than %d", from, answer.Revision, atLeast)
+	if shared.Revision < atLeast {
+		return nil, OrderFailed.New("relay: the instance at %s sent the configuration of revision %d, older than %d: the store is read instead", from, shared.Revision, atLeast)
 	}
-	answer.Routing.Index()
-	return answer.Routing, nil
+	shared.Routing.Index()
+	return shared.Routing, nil
 }
 
-// routingAt gets the configuration as it was at the revision or later: from the store, where the stale copy costs little,
-// or from the instance that told of it, which goes first while the store turns this one away. from is nil where the store
-// told of it.
+// routingAt returns the configuration as of the revision or later: from the store, whose stale reads cost little, or
+// from the Instance that announced it. That Instance is asked first while the store rejects this one. from is nil if
+// the store itself announced the revision.
 func (fl *follower) routingAt(ctx context.Context, from *net.UDPAddr, revision int64) (*decl.Routing, error) {
-	if from != nil && time.Since(fl.refusedAt) < turnedAwayTime {
-		if routing, err := fl.in.routingOf(ctx, from, revision); err == nil {
+	if from != nil && time.Since(fl.refusedAt) < refusalCooldown {
+		if routing, err := fl.in.fetchRouting(ctx, from, revision); err == nil {
 			return routing, nil
 		}
 	}
-	limited, cancel := context.WithTimeout(ctx, askTimeout)
+	limited, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	fl.in.count("Store.Configurations")
 	routing, err := fl.in.directory.Routing(limited, revision)
@@ -93,6 +95,6 @@
 		return routing, err
 	}
 	fl.refusedAt = time.Now()
-	fl.in.log.Info().Err(err).Int64("Revision", revision).Msg("configuration not had from the store; the instance that told of it is asked")
-	return fl.in.routingOf(ctx, from, revision)
+	fl.in.log.Info().Err(err).Int64("Revision", revision).Msg("reading the configuration from the store failed; fetching it from the instance that announced it")
+	return fl.in.fetchRouting(ctx, from, revision)
 }
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// Requests that come while an instance starts. Load pattern: all instances lose power at once and start again together, and
-// their callers are at the doors before the store has handed the configuration to each. A caller that is refused then comes
-// back to an instance that is no further, and has no other try. A moment later it can be served.
+// Requests that arrive while an Instance starts wait briefly for its first configuration. After a power failure all
+// instances start at once, and callers connect before the store has sent each instance the configuration. A refused
+// caller would retry at an instance that has no configuration either and then have no retry left, although it could be
+// served a moment later.
 
 const (
-	// startTime is how long after its start an instance is taken to be about to have its configuration. The store's link
-	// takes half a second to hand a large one to each of some hundred instances.
-	startTime = 1500 * time.Millisecond
-	// startWait is how long one request waits for it at the most: callers turn to another instance after a second in which
-	// their request is not read.
-	startWait = 700 * time.Millisecond
+	// startupWindow is how long after its start an Instance is expected to receive its configuration. The store's
+	// network link takes half a second to send a large configuration to each of about a hundred instances.
+	startupWindow = 1500 * time.Millisecond
+	// maxStartWait is the maximum time that one request waits for the configuration. Callers switch to another Instance
+	// if their request is not read for a second.
+	maxStartWait = 700 * time.Millisecond
 )
 
-// awaitStart lets a request wait for the first configuration and its confirmation.
+// awaitStart blocks until the first configuration is confirmed, the request's wait expires or the context ends.
 func (in *Instance) awaitStart(ctx context.Context) {
-	wait := min(startWait, startTime-time.Since(in.startedAt))
+	wait := min(maxStartWait, startupWindow-time.Since(in.startedAt))
 	if wait <= 0 {
 		return
 	}
@@ -29,6 +30,6 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-in.begun:
+	case <-in.firstConfirmed:
 	}
 }
--- a/internal/relay/start_test.go
+++ b/internal/relay/start_test.go
@@ -10,33 +10,33 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-func TestRequestsWaitForAnInstanceThatStarts(t *testing.T) {
-	// All instances lost power, start again together, and have their configuration half a second later. Callers who came
-	// meanwhile were refused, came back after 300 ms to another instance that was no further, and had no other try. A request
-	// waits until the instance is there, not longer than its caller would, and not at one that has run for long: there the
-	// store is away, and nobody knows until when.
-	cases := map[string]struct{ up, begins, waits time.Duration }{
-		"begins soon":          {100 * time.Millisecond, 300 * time.Millisecond, 300 * time.Millisecond},
-		"does not begin":       {100 * time.Millisecond, time.Hour, startWait},
-		"has run for a while":  {time.Second, time.Hour, startTime - time.Second},
-		"has run for long":     {time.Minute, time.Hour, 0},
-		"has begun long since": {time.Second, 0, 0},
+func TestRequestsWaitForInstanceStartup(t *testing.T) {
+	// Guards against refusals after a power failure: all instances start again together and have their configuration
+	// half a second later, and refused callers retry 300 ms later at another Instance that is not ready either and have
+	// no retry left. A request waits for the configuration, but not longer than its caller would, and not at an
+	// Instance that has run for long: there the store is unreachable for an unknown time.
+	cases := map[string]struct{ uptime, confirmedAfter, wantWait time.Duration }{
+		"confirmed soon":                  {100 * time.Millisecond, 300 * time.Millisecond, 300 * time.Millisecond},
+		"not confirmed":                   {100 * time.Millisecond, time.Hour, maxStartWait},
+		"not confirmed, late in startup":  {time.Second, time.Hour, startupWindow - time.Second},
+		"not confirmed, long after start": {time.Minute, time.Hour, 0},
+		"confirmed before the request":    {time.Second, 0, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				in := New(Options{Name: "one"}, newShelf(), nil, nil, nil)
+				in := New(Options{Name: "one"}, newFakeDirectory(), nil, nil, nil)
 				in.startedAt = time.Now()
 				in.routing.Store(&decl.Routing{Version: 1})
-				time.Sleep(tc.up)
+				time.Sleep(tc.uptime)
 				arrived := time.Now()
-				timer := time.AfterFunc(tc.begins, func() { (&follower{in: in}).confirm(1) })
+				timer := time.AfterFunc(tc.confirmedAfter, func() { (&follower{in: in}).confirm(1) })
 				defer timer.Stop()
-				if tc.begins == 0 {
+				if tc.confirmedAfter == 0 {
 					synctest.Wait()
 				}
 				in.awaitStart(t.Context())
-				assert.Equal(t, time.Since(arrived), tc.waits)
+				assert.Equal(t, time.Since(arrived), tc.wantWait)
 			})
 		})
 	}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -10,36 +10,36 @@
 	"dandelionsail.example/dandelionsail/internal/steer"
 )
 
-// readBuffer is how much of a stream is read at a time.
-const readBuffer = 4 << 10
+// readBufferSize is the initial size in bytes of the buffer for a stream.
+const readBufferSize = 4 << 10
 
-// stream passes a series of events on, each when it is whole: a replica may break off in the middle of one, and the
-// replica that goes on begins with the next.
-func (tr *try) stream(ctx context.Context, resp *http.Response) steer.Result {
-	buf := make([]byte, 0, readBuffer)
+// stream forwards a stream of events, each once it is complete. A replica may fail in the middle of an event, and the
+// replica that resumes the stream begins with the next complete event.
+func (att *attempt) stream(ctx context.Context, resp *http.Response) steer.Result {
+	buf := make([]byte, 0, readBufferSize)
 	for {
 		if len(buf) == cap(buf) {
 			buf = append(make([]byte, 0, 2*cap(buf)), buf...)
 		}
 		count, err := resp.Body.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+count]
-		rest, ok := tr.pass(resp, buf)
+		rest, ok := att.forward(resp, buf)
 		if !ok {
 			return steer.ResultCancelled
 		}
 		buf = append(buf[:0], rest...)
 		if err == io.EOF && len(bytes.TrimSpace(buf)) == 0 {
-			tr.start(resp)
+			att.startResponse(resp)
 			return steer.ResultDone
 		}
 		if err != nil {
-			return tr.failed(ctx)
+			return att.failureResult(ctx)
 		}
 	}
 }
 
-// pass writes the whole events at the start of what has come and returns the rest.
-func (tr *try) pass(resp *http.Response, buf []byte) (rest []byte, ok bool) {
+// forward writes the complete events at the start of buf to the caller and returns the remaining bytes.
+func (att *attempt) forward(resp *http.Response, buf []byte) (rest []byte, ok bool) {
 	end := 0
 	for {
 		length := eventLength(buf[end:])
@@ -47,57 +47,59 @@
 			break
 		}
 		if id, found := eventID(buf[end : end+length]); found {
-			tr.cl.after = id
+			att.cl.lastEventID = id
 		}
 		end += length
 	}
 	if end == 0 {
 		return buf, true
 	}
-	tr.start(resp)
-	tr.progress()
-	if _, err := tr.cl.w.Write(buf[:end]); err != nil {
+	att.startResponse(resp)
+	att.recordProgress()
+	if _, err := att.cl.w.Write(buf[:end]); err != nil {
 		return nil, false
 	}
-	if err := tr.cl.control.Flush(); err != nil {
+	if err := att.cl.control.Flush(); err != nil {
 		return nil, false
 	}
 	return buf[end:], true
 }
 
-// start gives the caller the header of the first replica that answers; a later one only goes on.
-func (tr *try) start(resp *http.Response) {
-	if tr.last.IsZero() {
-		tr.in.apply(steer.Began{ID: tr.cl.id, Attempt: tr.eff.Attempt})
+// startResponse sends the caller the header of the first replica that answers. A later replica only continues the
+// stream.
+func (att *attempt) startResponse(resp *http.Response) {
+	if att.lastEvent.IsZero() {
+		att.in.apply(steer.Began{ID: att.cl.id, Attempt: att.eff.Attempt})
 	}
-	if tr.cl.headerOut {
+	if att.cl.headerSent {
 		return
 	}
-	tr.in.time("Requests.FirstByte.stream", time.Since(tr.cl.arrived))
-	copyHeader(tr.cl.w.Header(), resp.Header)
-	tr.cl.headerOut = true
-	tr.cl.w.WriteHeader(http.StatusOK)
+	att.in.recordTime("Requests.FirstByte.stream", time.Since(att.cl.arrived))
+	copyHeader(att.cl.w.Header(), resp.Header)
+	att.cl.headerSent = true
+	att.cl.w.WriteHeader(http.StatusOK)
 }
 
-// progress notes that the replica was heard.
-func (tr *try) progress() {
+// recordProgress records the arrival of an event and restarts the silence timer.
+func (att *attempt) recordProgress() {
 	now := time.Now()
-	if !tr.last.IsZero() {
-		pause := now.Sub(tr.last)
-		tr.in.apply(steer.Progressed{ID: tr.cl.id, Attempt: tr.eff.Attempt, Pause: pause})
-		if pause > tr.ended.Pause {
-			tr.ended.Pause, tr.ended.PauseAt = pause, now
+	if !att.lastEvent.IsZero() {
+		pause := now.Sub(att.lastEvent)
+		att.in.apply(steer.Progressed{ID: att.cl.id, Attempt: att.eff.Attempt, Pause: pause})
+		if pause > att.ended.Pause {
+			att.ended.Pause, att.ended.PauseAt = pause, now
 		}
 	}
-	tr.last = now
-	tr.progressed.Store(&now)
-	tr.checks.Store(0)
-	tr.in.heard.Store(tr.eff.Replica.Name, now)
-	tr.limit.Store(int64(tr.eff.GapBy))
-	tr.timer.Reset(tr.eff.GapBy)
+	att.lastEvent = now
+	att.sharedLastEvent.Store(&now)
+	att.checks.Store(0)
+	att.in.lastEvents.Store(att.eff.Replica.Name, now)
+	att.limit.Store(int64(att.eff.GapBy))
+	att.timer.Reset(att.eff.GapBy)
 }
 
-// eventLength is the length of the event at the start, with the empty line that ends it; 0 if it is not whole.
+// eventLength returns the length of the event at the start of buf, including the empty line that ends it, or 0 if the
+// event is incomplete.
 func eventLength(buf []byte) int {
 	for at := 0; at < len(buf); {
 		line := bytes.IndexByte(buf[at:], '\n')
@@ -112,7 +114,7 @@
 	return 0
 }
 
-// eventID returns the id of an event.
+// eventID returns the ID of an event and whether it has one.
 func eventID(event []byte) (string, bool) {
 	for line := range bytes.Lines(event) {
 		value, found := bytes.CutPrefix(line, []byte("id:"))
--- /dev/null
+++ b/internal/relay/update.go
@@ -0,0 +1,222 @@
+package relay
+
+import (
+	"context"
+	"maps"
+	"net"
+	"slices"
+	"time"
+
+	"dandelionsail.example/dandelionsail/internal/delay"
+	"dandelionsail.example/dandelionsail/internal/steer"
+)
+
+// The follower updates its state once it knows of a newer revision.
+
+const (
+	// changesTimeout is the fixed part of the timeout for reading changes. The store may hold changes back, and then it
+	// does not respond at all.
+	changesTimeout = 150 * time.Millisecond
+	// changesFactor is how many times the duration of the preceding Revision call is added to changesTimeout.
+	changesFactor = 3
+	// pageTimeout is the timeout for reading a page of at most a megabyte, which takes half a second over the slowest
+	// link and longer when many instances read.
+	pageTimeout = 2500 * time.Millisecond
+	// maxPageRetries is how many failed page reads are retried, counted over all pages of one read.
+	maxPageRetries = 3
+)
+
+// update brings the state to the revision or a later one, and a poller then announces the new revision to its peers. It
+// reads only the changes where possible and everything otherwise, so that the cost of a change does not grow with the
+// fleet.
+func (fl *follower) update(ctx context.Context, revision int64, limit time.Duration) error {
+	if fl.loaded && revision <= fl.in.changes.revision() {
+		return nil
+	}
+	if err := fl.updateTo(ctx, revision, limit); err != nil {
+		return err
+	}
+	if fl.in.gossip.pollsStore(fl.pollerCount()) {
+		fl.in.gossip.announceRevision()
+	}
+	return nil
+}
+
+func (fl *follower) updateTo(ctx context.Context, revision int64, limit time.Duration) error {
+	wasLoaded := fl.loaded
+	if wasLoaded && fl.applyChangesTo(ctx, revision, limit) {
+		return nil
+	}
+	if err := fl.readAll(ctx, true); err != nil || fl.in.changes.revision() >= revision {
+		return err
+	}
+	// If wasLoaded is set, the store did not return the changes above and does not return them now either.
+	if !wasLoaded && fl.applyChangesTo(ctx, revision, limit) {
+		return nil
+	}
+	return fl.readAll(ctx, false)
+}
+
+// applyChangesTo brings the state to the revision by applying changes, and reports whether the store provided them.
+func (fl *follower) applyChangesTo(ctx context.Context, revision int64, limit time.Duration) bool {
+	for fl.in.changes.revision() < revision {
+		if err := fl.applyNextChanges(ctx, limit); err != nil {
+			fl.in.count("Store.ChangesMissed")
+			fl.in.log.Info().Err(err).Int64("Revision", revision).Msg("changes not available; reading the whole directory")
+			return false
+		}
+	}
+	return true
+}
+
+// applyNextChanges reads and applies the next changes from the store.
+func (fl *follower) applyNextChanges(ctx context.Context, limit time.Duration) error {
+	limited, cancel := context.WithTimeout(ctx, limit)
+	defer cancel()
+	fl.in.count("Store.Changes")
+	changes, upTo, err := fl.in.directory.Changes(limited, fl.in.changes.revision())
+	if err != nil {
+		return err
+	}
+	return fl.applyChanges(ctx, nil, changes, upTo)
+}
+
+// readAll replaces the state by the store's whole contents unless those are not newer, as a stale read may be.
+func (fl *follower) readAll(ctx context.Context, stale bool) error {
+	fl.in.count("Store.Reads")
+	snap, err := fl.readPages(ctx, stale)
+	if err != nil {
+		return err
+	}
+	if fl.loaded && snap.Revision <= fl.in.changes.revision() {
+		return nil
+	}
+	fl.peers = make(map[string]Peer, len(snap.Peers))
+	for _, peer := range snap.Peers {
+		fl.peers[peer.Name] = peer
+	}
+	fl.recordFirstRead()
+	fl.in.changes.reset(snap.Revision)
+	fl.in.install(snap.Routing)
+	fl.in.setPeers(fl.peers)
+	fl.in.apply(steer.Listed{Replicas: snap.Replicas, Away: fl.storeDown})
+	return nil
+}
+
+// recordFirstRead records that the store was read, and hands announce the entry of an earlier run of this Instance if
+// the directory still holds one with the same address and failure domain.
+func (fl *follower) recordFirstRead() {
+	if fl.loaded {
+		return
+	}
+	fl.loaded = true
+	self := fl.in.self
+	if earlier, ok := fl.peers[self.Name]; ok && earlier.Address == self.Address && earlier.FailureDomain == self.FailureDomain {
+		self = earlier
+	}
+	trySend(fl.in.ownEntry, self)
+}
+
+// readPages reads and merges all pages. A failed page is retried on its own: when all instances of a large fleet start
+// at once, their reads saturate the store's link for seconds, and if each read started over after a failure none would
+// ever complete. Changes made after the first page's revision that later pages miss are read as changes afterwards.
+func (fl *follower) readPages(ctx context.Context, stale bool) (Snapshot, error) {
+	var all Snapshot
+	after, failures := "", 0
+	for {
+		page, next, err := fl.readPage(ctx, stale, after)
+		if err != nil {
+			failures++
+			if failures > maxPageRetries || !delay.For(ctx, minPollBackoff<<failures) {
+				return Snapshot{}, err
+			}
+			continue
+		}
+		if after == "" {
+			all.Revision = page.Revision
+		}
+		if page.Routing != nil {
+			all.Routing = page.Routing
+		}
+		all.Replicas = append(all.Replicas, page.Replicas...)
+		all.Peers = append(all.Peers, page.Peers...)
+		if next == "" {
+			return all, nil
+		}
+		after = next
+	}
+}
+
+func (fl *follower) readPage(ctx context.Context, stale bool, after string) (Snapshot, string, error) {
+	limited, cancel := context.WithTimeout(ctx, pageTimeout)
+	defer cancel()
+	return fl.in.directory.Read(limited, stale, after)
+}
+
+// applyChanges applies all changes up to the revision. On an error the revision does not advance, since a state with
+// only some of the changes would count as complete. The changes come from the Instance at the address, or from the
+// store if from is nil.
+func (fl *follower) applyChanges(ctx context.Context, from *net.UDPAddr, changes []Change, upTo int64) error {
+	relisted, peersChanged, routingRevision := fl.classify(changes)
+	if routingRevision > 0 {
+		routing, err := fl.routingAt(ctx, from, routingRevision)
+		if err != nil {
+			return err
+		}
+		fl.in.install(routing)
+	}
+	if peersChanged {
+		fl.in.setPeers(fl.peers)
+	}
+	fl.in.changes.add(changes, upTo)
+	fl.in.apply(relisted)
+	return nil
+}
+
+// classify sorts the changes into those of replicas, of instances, which it applies to fl.peers, and of the
+// configuration, of which it returns the last revision or 0.
+func (fl *follower) classify(changes []Change) (relisted steer.Relisted, peersChanged bool, routingRevision int64) {
+	latest := map[string]*steer.Replica{}
+	for i := range changes {
+		chg := &changes[i]
+		switch {
+		case chg.Routing:
+			routingRevision = chg.Revision
+		case chg.Replica != nil:
+			latest[chg.Replica.Name] = chg.Replica
+		case chg.LeftReplica != "":
+			latest[chg.LeftReplica] = nil
+		case chg.Peer != nil:
+			fl.peers[chg.Peer.Name] = *chg.Peer
+			peersChanged = true
+		case chg.LeftPeer != "":
+			delete(fl.peers, chg.LeftPeer)
+			peersChanged = true
+		}
+	}
+	relisted.Away = fl.storeDown
+	for _, name := range slices.Sorted(maps.Keys(latest)) {
+		if rep := latest[name]; rep != nil {
+			relisted.Replicas = append(relisted.Replicas, *rep)
+		} else {
+			relisted.Gone = append(relisted.Gone, name)
+		}
+	}
+	return relisted, peersChanged, routingRevision
+}
+
+// catchUp applies the changes in another Instance's confirmation. If that Instance no longer holds them, everything is
+// read from the store.
+func (fl *follower) catchUp(ctx context.Context, from *net.UDPAddr, conf *confirmation) error {
+	have := fl.in.changes.revision()
+	if conf.Revision <= have {
+		return nil
+	}
+	if conf.appliesTo(have) {
+		return fl.applyChanges(ctx, from, conf.Changes, conf.UpTo)
+	}
+	if err := fl.readAll(ctx, true); err != nil || fl.in.changes.revision() > have {
+		return err
+	}
+	return fl.readAll(ctx, false)
+}
