--- a/internal/model/caller.go
+++ b/internal/model/caller.go
@@ -79,7 +79,7 @@
 	}
 	in.reduce(steer.Arrived{
 		ID: tr.id, Route: cl.route, Name: cl.class.Name, Prompt: cl.prompt, Answer: cl.answer, Deadline: tr.until,
-		Patience: patience, Given: millis(left), Digest: cl.digest,
+		LeavesAt: patience, StatedTimeout: millis(left), Digest: cl.digest,
 	})
 	cl.wd.after(ms(tr.until.Sub(now)), func() { in.expire(tr) })
 	if cl.route.Stream {
@@ -127,7 +127,7 @@
 	case fin.Refusal != nil && fin.Refusal.NotRun:
 		cl.wd.result.Again += cl.worth
 		cl.end(endedRefused)
-	case fin.Refusal != nil || fin.Deliver:
+	case fin.Refusal != nil || fin.DeliverFailure:
 		if cl.tries == 1 && cl.route.Repeats != decl.RepeatsNone {
 			cl.wd.after(1, cl.begin)
 			return
--- a/internal/model/instance.go
+++ b/internal/model/instance.go
@@ -57,11 +57,11 @@
 			delete(in.calls, eff.ID)
 			in.wd.after(in.wd.sc.NoteDelay, func() { tr.call.finished(tr, eff) })
 		}
-	case steer.Tell:
+	case steer.SendNote:
 		in.wd.tell(in, eff)
 	case steer.Wake:
 		in.wd.after(ms(eff.After), func() { in.reduce(steer.Ticked{}) })
-	case steer.Survey:
+	case steer.QueryLoad:
 		for _, rep := range eff.Replicas {
 			in.wd.after(2*in.wd.sc.NoteDelay, func() { in.surveyed(rep) })
 		}
@@ -73,7 +73,7 @@
 	if en == nil {
 		return
 	}
-	in.reduce(steer.Surveyed{Replica: rep.Name, Running: en.slots + len(en.queue), Used: en.tokens})
+	in.reduce(steer.LoadReported{Replica: rep.Name, Running: en.slots + len(en.queue), Used: en.tokens})
 }
 
 // send brings an attempt to its replica.
@@ -131,7 +131,7 @@
 func (in *instance) notRun(rn *run, full string) {
 	if tr, ok := in.calls[rn.send.ID]; ok && tr.run == rn && !rn.cut {
 		rn.cut = true
-		in.reduce(steer.AttemptEnded{ID: tr.id, Attempt: rn.send.Attempt, Result: steer.ResultNotRun, At: full})
+		in.reduce(steer.AttemptEnded{ID: tr.id, Attempt: rn.send.Attempt, Result: steer.ResultNotRun, FaultAt: full})
 	}
 }
 
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -208,7 +208,7 @@
 }
 
 // tell brings a note to the others.
-func (wd *world) tell(from *instance, eff steer.Tell) {
+func (wd *world) tell(from *instance, eff steer.SendNote) {
 	for _, in := range wd.instances {
 		if in == nil || in == from || eff.To != nil && !slices.Contains(eff.To, in.name) {
 			continue
@@ -219,7 +219,7 @@
 		// Each receiver decodes a note of its own.
 		nt := eff.Note
 		nt.Jobs = slices.Clone(nt.Jobs)
-		wd.after(wd.sc.NoteDelay*(0.5+wd.random.Float64()), func() { in.reduce(steer.Heard{Note: nt}) })
+		wd.after(wd.sc.NoteDelay*(0.5+wd.random.Float64()), func() { in.reduce(steer.NoteReceived{Note: nt}) })
 	}
 }
 
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -116,12 +116,12 @@
 	att.timer = time.AfterFunc(limit, func() { att.checkSilence(watched, cancel) })
 	defer att.timer.Stop()
 	if refusedBy, ok := att.reserve(watched); !ok {
-		att.ended.At = refusedBy
+		att.ended.FaultAt = refusedBy
 		return steer.ResultNotRun
 	}
 	defer att.release()
 	transport := att.in.pooled
-	if att.eff.Fresh {
+	if att.eff.NewConnection {
 		transport = att.in.unpooled
 	}
 	sent := time.Now()
@@ -180,9 +180,9 @@
 // memory that no request uses must not be renewed for as long as a silent replica is assumed to be working.
 func firstByteLimit(eff *steer.Send) time.Duration {
 	if hasReservations(eff) {
-		return min(eff.FirstBy, maxUnusedReservation)
+		return min(eff.FirstTimeout, maxUnusedReservation)
 	}
-	return eff.FirstBy
+	return eff.FirstTimeout
 }
 
 // maxChecks is how often a silent replica is assumed to be working on a request because it accepts connections or sends
@@ -221,14 +221,14 @@
 		// Otherwise net/http adds its own User-Agent.
 		req.Header["User-Agent"] = []string{""}
 	}
-	dress := Dress{
-		Replica: att.eff.Replica.Name, Organisation: cl.org, Left: max(minTimeLeft, time.Until(att.eff.Deadline)),
+	dress := ForwardInfo{
+		Replica: att.eff.Replica.Name, Organisation: cl.org, TimeLeft: max(minTimeLeft, time.Until(att.eff.Deadline)),
 		Priority: att.eff.Priority, After: cl.lastEventID,
 	}
 	for i, helper := range att.eff.Helpers {
-		dress.Helpers = append(dress.Helpers, DressHelper{Address: helper.Address, Ticket: att.reservationID(i)})
+		dress.Helpers = append(dress.Helpers, ForwardHelper{Address: helper.Address, Ticket: att.reservationID(i)})
 	}
-	att.in.protocol.Dress(req.Header, dress)
+	att.in.protocol.SetHeaders(req.Header, dress)
 	return req
 }
 
@@ -254,9 +254,9 @@
 	}
 }
 
-func (att *attempt) receive(ctx context.Context, resp *http.Response, reply Reply) steer.Result {
+func (att *attempt) receive(ctx context.Context, resp *http.Response, reply ResponseInfo) steer.Result {
 	att.ended.Status = resp.StatusCode
-	att.ended.At = reply.At
+	att.ended.FaultAt = reply.FaultyReplica
 	if reply.Name != att.cl.info.Name && reply.Name != "" {
 		// This is a late response to an earlier request on a reused connection.
 		return steer.ResultBroken
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -32,7 +32,7 @@
 	id       steer.RequestID
 	w        http.ResponseWriter
 	req      *http.Request
-	info     Ask
+	info     RequestInfo
 	route    *decl.Route
 	org      string
 	body     []byte
@@ -59,7 +59,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	cl := &call{
-		w: w, req: req, info: in.protocol.Ask(req),
+		w: w, req: req, info: in.protocol.ParseRequest(req),
 		effects: make(chan steer.Effect, effectQueueSize), control: http.NewResponseController(w),
 	}
 	arrived := time.Now()
@@ -140,8 +140,8 @@
 	cl.id = steer.RequestID(in.nextID.Add(1))
 	return steer.Arrived{
 		ID: cl.id, Route: cl.route, Name: cl.info.Name, Organisation: cl.org, Priority: priority,
-		Prompt: cl.info.Prompt, Answer: cl.info.Answer, Deadline: cl.deadline, Patience: patienceEnd(cl.route, cl.arrived, cl.deadline),
-		Digest: cl.digest(), Given: cl.info.Patience,
+		Prompt: cl.info.Prompt, Answer: cl.info.Answer, Deadline: cl.deadline, LeavesAt: patienceEnd(cl.route, cl.arrived, cl.deadline),
+		Digest: cl.digest(), StatedTimeout: cl.info.Patience,
 	}
 }
 
@@ -225,9 +225,9 @@
 // finish ends the caller's request.
 func (in *Instance) finish(cl *call, eff steer.Finish) {
 	switch {
-	case eff.Deliver && !cl.headerSent && cl.errorResponse != nil:
+	case eff.DeliverFailure && !cl.headerSent && cl.errorResponse != nil:
 		cl.errorResponse.write(cl)
-	case eff.Refusal == nil && !eff.Deliver:
+	case eff.Refusal == nil && !eff.DeliverFailure:
 	case cl.headerSent:
 		// Part of the response is sent; only a cut connection shows the caller that the rest is missing.
 		panic(http.ErrAbortHandler)
--- a/internal/relay/follow_test.go
+++ b/internal/relay/follow_test.go
@@ -192,7 +192,7 @@
 		followers = append(followers, fl)
 	}
 	fullReads, revisionCalls := dir.fullReads.Load(), dir.revisionCalls.Load()
-	dir.addChange(Change{LeftReplica: "board-0"})
+	dir.addChange(Change{RemovedReplica: "board-0"})
 	dir.snap.Replicas = nil
 	assert.Assert(t, followers[0].pollStore(t.Context()))
 	from := ins[0].gossip.conn.LocalAddr().(*net.UDPAddr)
@@ -223,7 +223,7 @@
 	assert.Equal(t, one.changes.revision(), dir.snap.Revision)
 	assert.Equal(t, dir.fullReads.Load(), fullReads)
 	for i := range 100 {
-		assert.Assert(t, one.state.Lists("engine-"+strconv.Itoa(i)), i)
+		assert.Assert(t, one.state.IsRegistered("engine-"+strconv.Itoa(i)), i)
 	}
 }
 
@@ -236,7 +236,7 @@
 	fl := &follower{in: in}
 	assert.NilError(t, fl.readAll(t.Context(), true))
 	assert.Equal(t, in.changes.revision(), int64(7))
-	assert.Assert(t, in.configured() && in.state.Lists("board-0"))
+	assert.Assert(t, in.configured() && in.state.IsRegistered("board-0"))
 	dir.failingPages = maxPageRetries + 1
 	assert.Assert(t, fl.readAll(t.Context(), true) != nil)
 }
@@ -249,7 +249,7 @@
 	registerAll(dir, one, two)
 	nonPoller := &follower{in: one}
 	assert.Assert(t, nonPoller.pollStore(t.Context()))
-	dir.addChange(Change{LeftReplica: "board-0"})
+	dir.addChange(Change{RemovedReplica: "board-0"})
 	dir.snap.Replicas = nil
 	assert.Assert(t, (&follower{in: two}).pollStore(t.Context()))
 	assert.Assert(t, nonPoller.confirmByPeers(t.Context()))
@@ -263,7 +263,7 @@
 	in := newTestInstance(t, "one", dir)
 	fl := &follower{in: in}
 	assert.Assert(t, fl.pollStore(t.Context()))
-	dir.addChange(Change{LeftReplica: "board-0"})
+	dir.addChange(Change{RemovedReplica: "board-0"})
 	assert.Assert(t, fl.pollStore(t.Context()))
 	dir.staleLag = 1
 	assert.NilError(t, fl.readAll(t.Context(), true))
@@ -295,7 +295,7 @@
 		f.Fatal(err)
 	}
 	in.gossip = gs
-	f.Add(gs.encode(packet{Note: &steer.Note{From: "two", Jobs: []steer.Job{{ID: 1, Replicas: []string{"a", "b"}, Prompt: 5, Tickets: []int64{1}}}}}))
+	f.Add(gs.encode(packet{Note: &steer.Note{From: "two", Jobs: []steer.Job{{ID: 1, Replicas: []string{"a", "b"}, Prompt: 5, Reservations: []int64{1}}}}}))
 	f.Add(gs.encode(packet{Request: &confirmRequest{Nonce: 1}}))
 	f.Add(gs.encode(packet{Confirmation: &confirmation{Nonce: 1, Revision: 2, AgeMs: 3}}))
 	f.Add(gs.encode(packet{Confirmation: &confirmation{Nonce: 1, Revision: 2, UpTo: 2, Changes: []Change{{Revision: 2, Replica: &steer.Replica{Name: "a"}}}}}))
@@ -309,9 +309,9 @@
 	// A prompt is sent to a replica that accepts connections and never responds, while helpers reserve memory for it.
 	// If the replica were assumed to be working for three times its estimate, the reservations would be renewed for
 	// longer than memory may stay unused.
-	eff := &steer.Send{FirstBy: 20 * time.Second, Helpers: []steer.Helper{{Tokens: 100_000}}}
+	eff := &steer.Send{FirstTimeout: 20 * time.Second, Helpers: []steer.Helper{{Tokens: 100_000}}}
 	assert.Assert(t, firstByteLimit(eff)+reservationTTL < 9*time.Second)
-	assert.Equal(t, firstByteLimit(&steer.Send{FirstBy: 20 * time.Second}), 20*time.Second)
+	assert.Equal(t, firstByteLimit(&steer.Send{FirstTimeout: 20 * time.Second}), 20*time.Second)
 }
 
 func TestBootstrapMakesFewStoreCalls(t *testing.T) {
--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -33,7 +33,7 @@
 	conn *net.UDPConn
 	// peers holds the addresses of the other instances, by name.
 	peers atomic.Pointer[map[string]*net.UDPAddr]
-	queue chan steer.Tell
+	queue chan steer.SendNote
 	// ranked holds the addresses of all instances in the order in which they are chosen as pollers, nil for this
 	// Instance.
 	ranked atomic.Pointer[[]*net.UDPAddr]
@@ -62,7 +62,7 @@
 		return nil, Errors.NewType("listen").Wrap(err, "relay: --peer-listen %s cannot be used: choose a free address", in.opts.PeerListen)
 	}
 	gs := &gossip{
-		in: in, conn: conn, queue: make(chan steer.Tell, noteQueueSize),
+		in: in, conn: conn, queue: make(chan steer.SendNote, noteQueueSize),
 		confirmations: make(chan confirmation, 1), newRevisions: make(chan *net.UDPAddr, 1),
 	}
 	gs.peers.Store(&map[string]*net.UDPAddr{})
@@ -83,7 +83,7 @@
 }
 
 // enqueue queues a note without blocking. If the queue is full the note is dropped, and the next summary replaces it.
-func (gs *gossip) enqueue(eff steer.Tell) {
+func (gs *gossip) enqueue(eff steer.SendNote) {
 	if gs == nil || len(*gs.peers.Load()) == 0 {
 		return
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-func (gs *gossip) writeNote(eff steer.Tell) {
+func (gs *gossip) writeNote(eff steer.SendNote) {
 	raw := gs.encode(packet{Note: &eff.Note})
 	peers := *gs.peers.Load()
 	if eff.To == nil {
@@ -179,7 +179,7 @@
 			return false
 		}
 		gs.in.count("Notes.Heard")
-		gs.in.apply(steer.Heard{Note: *pk.Note})
+		gs.in.apply(steer.NoteReceived{Note: *pk.Note})
 	case pk.Request != nil:
 		gs.handleConfirmRequest(*pk.Request, from)
 	case pk.Confirmation != nil && pk.Confirmation.Nonce == 0:
--- a/internal/relay/instance.go
+++ b/internal/relay/instance.go
@@ -251,13 +251,13 @@
 		if cl, ok := in.calls[eff.ID]; ok {
 			cl.abort(eff.Attempt)
 		}
-	case steer.Tell:
+	case steer.SendNote:
 		in.gossip.enqueue(eff)
 	case steer.Wake:
 		time.AfterFunc(eff.After, func() { in.apply(steer.Ticked{}) })
-	case steer.Survey:
+	case steer.QueryLoad:
 		in.pollLoads(eff)
-	case steer.Line:
+	case steer.LogLine:
 		in.logDecision(eff)
 	}
 }
--- a/internal/relay/loadpoll.go
+++ b/internal/relay/loadpoll.go
@@ -17,7 +17,7 @@
 )
 
 // pollLoads polls each engine's load in the background. An engine that does not answer continues to count as idle.
-func (in *Instance) pollLoads(eff steer.Survey) {
+func (in *Instance) pollLoads(eff steer.QueryLoad) {
 	for _, replica := range eff.Replicas {
 		in.background.Go(func() {
 			running, used, err := in.fetchLoad(replica)
@@ -25,7 +25,7 @@
 				in.log.Info().Str("Replica", replica.Name).Err(err).Msg("load poll failed; engine counts as idle")
 				return
 			}
-			in.apply(steer.Surveyed{Replica: replica.Name, Running: running, Used: used})
+			in.apply(steer.LoadReported{Replica: replica.Name, Running: running, Used: used})
 		})
 	}
 }
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -23,7 +23,7 @@
 }
 
 // logDecision logs one decision of the reducer and counts it.
-func (in *Instance) logDecision(line steer.Line) {
+func (in *Instance) logDecision(line steer.LogLine) {
 	in.count("Decisions.Count." + line.Message)
 	entry := in.log.Info()
 	addString(entry, "Request", line.Request)
@@ -56,10 +56,10 @@
 	entry.Msg(line.Message)
 }
 
-func logEnd(entry *log.Entry, end *steer.End) {
+func logEnd(entry *log.Entry, end *steer.Outcome) {
 	addString(entry, "Route", end.Route)
 	entry.Float64("Value", math.Round(end.Value*100)/100).Int64("GoalMs", end.Goal.Milliseconds())
-	if end.Back {
+	if end.TriedBefore {
 		entry.Bool("Back", true)
 	}
 	if end.First > 0 {
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -70,25 +70,25 @@
 	Replica *steer.Replica `cbor:"2,keyasint,omitempty"`
 	// Peer was registered, or registered again with other values.
 	Peer *Peer `cbor:"3,keyasint,omitempty"`
-	// LeftReplica names a replica that is no longer registered.
-	LeftReplica string `cbor:"4,keyasint,omitempty"`
-	// LeftPeer names an Instance that is no longer registered.
-	LeftPeer string `cbor:"5,keyasint,omitempty"`
+	// RemovedReplica names a replica that is no longer registered.
+	RemovedReplica string `cbor:"4,keyasint,omitempty"`
+	// RemovedPeer names an Instance that is no longer registered.
+	RemovedPeer string `cbor:"5,keyasint,omitempty"`
 	// Routing reports whether the configuration changed.
 	Routing bool `cbor:"6,keyasint,omitempty"`
 }
 
 // Protocol translates the headers of requests and responses.
 type Protocol interface {
-	// Ask parses the headers of a caller's request.
-	Ask(req *http.Request) Ask
-	// Dress sets the headers that a replica is sent in addition to the caller's, and removes those that it must not
+	// ParseRequest parses the headers of a caller's request.
+	ParseRequest(req *http.Request) RequestInfo
+	// SetHeaders sets the headers that a replica is sent in addition to the caller's, and removes those that it must not
 	// see.
-	Dress(header http.Header, dr Dress)
+	SetHeaders(header http.Header, dr ForwardInfo)
 	// Reply parses the headers of a replica's response.
-	Reply(resp *http.Response) Reply
+	Reply(resp *http.Response) ResponseInfo
 	// Reserve returns the request that reserves memory at a replica or renews a reservation.
-	Reserve(ctx context.Context, replica steer.Replica, tk Ticket) (*http.Request, error)
+	Reserve(ctx context.Context, replica steer.Replica, tk Reservation) (*http.Request, error)
 	// Survey returns the request for a replica's load report.
 	Survey(ctx context.Context, replica steer.Replica) (*http.Request, error)
 	// Load parses a load report: the number of requests that run or wait at the replica, and the memory in tokens that
@@ -98,17 +98,17 @@
 	Release(ctx context.Context, replica steer.Replica, id string) (*http.Request, error)
 }
 
-// Ticket is a reservation of memory at a replica.
-type Ticket struct {
+// Reservation is a reservation of memory at a replica.
+type Reservation struct {
 	// ID identifies the reservation; it is unique to one attempt at one replica.
 	ID     string
 	Tokens int64
-	// Hold is how long the reservation lasts unless it is renewed.
-	Hold time.Duration
+	// TTL is how long the reservation lasts unless it is renewed.
+	TTL time.Duration
 }
 
-// Ask is the information in a caller's request headers.
-type Ask struct {
+// RequestInfo is the information in a caller's request headers.
+type RequestInfo struct {
 	// Name is the request ID that the caller chose.
 	Name string
 	// Token is the caller's access token, empty if it sent none.
@@ -123,28 +123,28 @@
 	After string
 }
 
-// Dress is the information that a replica is sent with a request.
-type Dress struct {
+// ForwardInfo is the information that a replica is sent with a request.
+type ForwardInfo struct {
 	// Replica names the replica that the request is meant for.
 	Replica string
 	// Organisation is the caller's, empty on public routes.
 	Organisation string
-	// Left is the time until the deadline.
-	Left time.Duration
+	// TimeLeft is the time until the deadline.
+	TimeLeft time.Duration
 	// Priority is 0 for the most urgent requests and negative if none is sent.
 	Priority int
 	// Helpers are the replicas that process parts of the prompt.
-	Helpers []DressHelper
+	Helpers []ForwardHelper
 	// After is the ID of the last event that the caller received.
 	After string
 }
 
-// DressHelper is a replica that processes a part of the prompt. Ticket is the ID of its reservation, empty if it has
+// ForwardHelper is a replica that processes a part of the prompt. Ticket is the ID of its reservation, empty if it has
 // none.
-type DressHelper struct{ Address, Ticket string }
+type ForwardHelper struct{ Address, Ticket string }
 
-// Reply is the information in a replica's response headers.
-type Reply struct {
+// ResponseInfo is the information in a replica's response headers.
+type ResponseInfo struct {
 	// Name is the request ID as the replica received it.
 	Name string
 	// Sealed reports whether the response carries the replica's signature.
@@ -155,8 +155,8 @@
 	Misdirected bool
 	// RetryAfter is how long the replica asks callers to wait before they try again, 0 if it does not say.
 	RetryAfter time.Duration
-	// At names the replica at fault, empty if it is unknown or the one that was sent the request.
-	At string
+	// FaultyReplica names the replica at fault, empty if it is unknown or the one that was sent the request.
+	FaultyReplica string
 	// Limited reports whether the replica announces a rate limit.
 	Limited bool
 	// Limit is that rate limit in requests per second, summed over all Instances.
--- a/internal/relay/ready.go
+++ b/internal/relay/ready.go
@@ -18,7 +18,7 @@
 	now := time.Now()
 	ended := now.Add(in.opts.Grace - shutdownMargin)
 	in.draining.Store(true)
-	in.apply(steer.Draining{Hold: now.Add(time.Duration(drainQueueShare * float64(in.opts.Grace))), Stop: ended.Add(-shutdownMargin)})
+	in.apply(steer.Draining{RefuseWaitingAt: now.Add(time.Duration(drainQueueShare * float64(in.opts.Grace))), AbortAt: ended.Add(-shutdownMargin)})
 	in.log.Info().Str("Instance", in.opts.Name).Int("Open", in.open()).Msg("draining")
 	delay.For(context.Background(), in.opts.DrainNotice)
 	limited, cancel := context.WithDeadline(context.Background(), ended)
--- a/internal/relay/reservation.go
+++ b/internal/relay/reservation.go
@@ -79,7 +79,7 @@
 // follows a release.
 func (att *attempt) renew(ctx context.Context) {
 	defer close(att.renewalDone)
-	for delay.For(ctx, steer.TicketRenew) {
+	for delay.For(ctx, steer.ReservationRenewInterval) {
 		for i := range att.eff.Helpers {
 			if att.eff.Helpers[i].Tokens == 0 {
 				continue
@@ -123,7 +123,7 @@
 	var req *http.Request
 	var err error
 	if reserve {
-		req, err = att.in.protocol.Reserve(limited, to.Replica, Ticket{ID: att.reservationID(helper), Tokens: to.Tokens, Hold: reservationTTL})
+		req, err = att.in.protocol.Reserve(limited, to.Replica, Reservation{ID: att.reservationID(helper), Tokens: to.Tokens, TTL: reservationTTL})
 	} else {
 		req, err = att.in.protocol.Release(limited, to.Replica, att.reservationID(helper))
 	}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -94,8 +94,8 @@
 	att.sharedLastEvent.Store(&now)
 	att.checks.Store(0)
 	att.in.lastEvents.Store(att.eff.Replica.Name, now)
-	att.limit.Store(int64(att.eff.GapBy))
-	att.timer.Reset(att.eff.GapBy)
+	att.limit.Store(int64(att.eff.GapTimeout))
+	att.timer.Reset(att.eff.GapTimeout)
 }
 
 // eventLength returns the length of the event at the start of buf, including the empty line that ends it, or 0 if the
--- a/internal/relay/update.go
+++ b/internal/relay/update.go
@@ -99,7 +99,7 @@
 	fl.in.changes.reset(snap.Revision)
 	fl.in.install(snap.Routing)
 	fl.in.setPeers(fl.peers)
-	fl.in.apply(steer.Listed{Replicas: snap.Replicas, Away: fl.storeDown})
+	fl.in.apply(steer.Listed{Replicas: snap.Replicas, AfterOutage: fl.storeDown})
 	return nil
 }
 
@@ -175,7 +175,7 @@
 
 // classify sorts the changes into those of replicas, of instances, which it applies to fl.peers, and of the
 // configuration, of which it returns the last revision or 0.
-func (fl *follower) classify(changes []Change) (relisted steer.Relisted, peersChanged bool, routingRevision int64) {
+func (fl *follower) classify(changes []Change) (relisted steer.ListChanged, peersChanged bool, routingRevision int64) {
 	latest := map[string]*steer.Replica{}
 	for i := range changes {
 		chg := &changes[i]
@@ -184,17 +184,17 @@
 			routingRevision = chg.Revision
 		case chg.Replica != nil:
 			latest[chg.Replica.Name] = chg.Replica
-		case chg.LeftReplica != "":
-			latest[chg.LeftReplica] = nil
+		case chg.RemovedReplica != "":
+			latest[chg.RemovedReplica] = nil
 		case chg.Peer != nil:
 			fl.peers[chg.Peer.Name] = *chg.Peer
 			peersChanged = true
-		case chg.LeftPeer != "":
-			delete(fl.peers, chg.LeftPeer)
+		case chg.RemovedPeer != "":
+			delete(fl.peers, chg.RemovedPeer)
 			peersChanged = true
 		}
 	}
-	relisted.Away = fl.storeDown
+	relisted.AfterOutage = fl.storeDown
 	for _, name := range slices.Sorted(maps.Keys(latest)) {
 		if rep := latest[name]; rep != nil {
 			relisted.Replicas = append(relisted.Replicas, *rep)
--- a/internal/steer/ask.go
+++ b/internal/steer/ask.go
@@ -48,7 +48,7 @@
 
 // hasTurn reports whether the request was granted a send early enough that its caller will still be waiting.
 func (req *request) hasTurn() bool {
-	return req.ask.granted && req.ask.sendAt.Before(req.Patience) && req.ask.sendAt.Before(req.Deadline)
+	return req.ask.granted && req.ask.sendAt.Before(req.LeavesAt) && req.ask.sendAt.Before(req.Deadline)
 }
 
 // limitWait returns how long a request is likely to wait for a send to the replica. It returns false if that is too long or
@@ -89,7 +89,7 @@
 // sendAsk sends the request's ask, together with the limit as known here, to the granting instance.
 func (st *State) sendAsk(req *request) {
 	nt := Note{Limits: []Limit{st.limitOf(req.ask.rep)}, Asks: []Ask{st.newAsk(req)}}
-	st.emit(Tell{Note: st.note(nt), To: []string{req.ask.granter}})
+	st.emit(SendNote{Note: st.note(nt), To: []string{req.ask.granter}})
 	st.emit(Wake{After: askTimeout})
 }
 
@@ -110,7 +110,7 @@
 		// Sends are available, but reserved for requests of higher value.
 		req.bar(ak.rep, st.now.Add(barTime))
 	}
-	st.emit(Line{Message: "rate limit: no send available in time", Request: req.Name, Replica: ak.rep.Name, Age: st.now.Sub(req.at), Estimate: after})
+	st.emit(LogLine{Message: "rate limit: no send available in time", Request: req.Name, Replica: ak.rep.Name, Age: st.now.Sub(req.at), Estimate: after})
 	req.ask = ask{}
 }
 
@@ -140,7 +140,7 @@
 		return false
 	default:
 		st.lastUnanswered[ak.granter] = st.now
-		st.emit(Line{Message: "rate limit: granting instance did not answer", Request: req.Name, Replica: ak.rep.Name, Age: st.now.Sub(req.at)})
+		st.emit(LogLine{Message: "rate limit: granting instance did not answer", Request: req.Name, Replica: ak.rep.Name, Age: st.now.Sub(req.at)})
 	}
 	req.ask = ask{}
 	return st.trySend(req)
--- a/internal/steer/batch.go
+++ b/internal/steer/batch.go
@@ -180,7 +180,7 @@
 		if !pend.due.After(st.now) {
 			delete(st.outbox, sub)
 			st.allowance.messages -= float64(st.recipients(sub))
-			st.emit(Tell{Note: st.note(st.withCurrentAges(pend)), To: st.users(sub)})
+			st.emit(SendNote{Note: st.note(st.withCurrentAges(pend)), To: st.users(sub)})
 			continue
 		}
 		if next.IsZero() || pend.due.Before(next) {
--- a/internal/steer/batch_test.go
+++ b/internal/steer/batch_test.go
@@ -17,14 +17,14 @@
 
 // arrival returns a request with the ID and a prompt of so many tokens.
 func arrival(now time.Time, id RequestID, prompt int64) Arrived {
-	return Arrived{ID: id, Route: &batchRoute, Prompt: prompt, Answer: 100, Digest: Digest(id), Deadline: now.Add(10 * time.Second), Patience: now.Add(2 * time.Second)}
+	return Arrived{ID: id, Route: &batchRoute, Prompt: prompt, Answer: 100, Digest: Digest(id), Deadline: now.Add(10 * time.Second), LeavesAt: now.Add(2 * time.Second)}
 }
 
 // tells returns the notes to other instances among the effects of the event.
-func tells(st *State, now time.Time, ev Event) []Tell {
-	var found []Tell
+func tells(st *State, now time.Time, ev Event) []SendNote {
+	var found []SendNote
 	for _, eff := range st.Reduce(now, ev) {
-		if eff, ok := eff.(Tell); ok {
+		if eff, ok := eff.(SendNote); ok {
 			found = append(found, eff)
 		}
 	}
@@ -38,7 +38,7 @@
 	st := fleet{195, 112, 5}.instance(3)
 	now := fleetStart
 	datagrams := 0
-	count := func(list []Tell) {
+	count := func(list []SendNote) {
 		for _, tell := range list {
 			assert.Assert(t, tell.To != nil)
 			datagrams += len(tell.To)
@@ -111,10 +111,10 @@
 	// note that starts a pass which began long ago, so that the next request is sent to an engine that is not free.
 	st := fleet{2, 1, 1}.instance(0)
 	job := Job{ID: 1, Replicas: []string{"engine-0"}, Prompt: 5000, Goal: 400, Gap: 300}
-	st.Reduce(fleetStart, Heard{Note: Note{From: "instance-1", Run: 1, Jobs: []Job{job}}})
+	st.Reduce(fleetStart, NoteReceived{Note: Note{From: "instance-1", Run: 1, Jobs: []Job{job}}})
 	before := st.replicas["engine-0"].passes
 	now := fleetStart.Add(20 * time.Millisecond)
-	st.Reduce(now, Heard{Note: Note{From: "instance-1", Run: 1, Begun: []JobID{1}, BegunAge: 15}})
+	st.Reduce(now, NoteReceived{Note: Note{From: "instance-1", Run: 1, Begun: []JobID{1}, BegunAge: 15}})
 	assert.Equal(t, st.replicas["engine-0"].passes, before)
 	assert.Assert(t, st.replicas["engine-0"].works[0].begun)
 }
@@ -132,7 +132,7 @@
 			})
 		}
 	}
-	st.Reduce(now, Heard{Note: note})
+	st.Reduce(now, NoteReceived{Note: note})
 	for id := range RequestID(2) {
 		now = now.Add(5 * time.Millisecond)
 		sent := tells(st, now, arrival(now, id+1, 1000))
--- a/internal/steer/bench_test.go
+++ b/internal/steer/bench_test.go
@@ -20,7 +20,7 @@
 			})
 		}
 	}
-	in.reduce(steer.Heard{Note: nt})
+	in.reduce(steer.NoteReceived{Note: nt})
 	return in
 }
 
--- a/internal/steer/claim.go
+++ b/internal/steer/claim.go
@@ -54,7 +54,7 @@
 			st.send(req)
 			continue
 		}
-		st.emit(Line{Message: "claim withdrawn", Request: req.Name, Replica: req.reps[0].Name, Age: st.now.Sub(req.at)})
+		st.emit(LogLine{Message: "claim withdrawn", Request: req.Name, Replica: req.reps[0].Name, Age: st.now.Sub(req.at)})
 		st.withdrawClaim(req)
 		req.notBefore = st.now.Add(claimBackoff)
 		st.waiting = append(st.waiting, req)
--- a/internal/steer/claim_test.go
+++ b/internal/steer/claim_test.go
@@ -57,10 +57,10 @@
 func (cc *claimCluster) reduce(name string, ev steer.Event) {
 	for _, eff := range cc.sts[name].Reduce(cc.now, ev) {
 		switch eff := eff.(type) {
-		case steer.Tell:
+		case steer.SendNote:
 			for _, other := range cc.names {
 				if other != name && (eff.To == nil || slices.Contains(eff.To, other)) {
-					cc.notes = append(cc.notes, delayedEvent{cc.now.Add(cc.delay), other, steer.Heard{Note: eff.Note}})
+					cc.notes = append(cc.notes, delayedEvent{cc.now.Add(cc.delay), other, steer.NoteReceived{Note: eff.Note}})
 				}
 			}
 		case steer.Wake:
@@ -71,8 +71,8 @@
 	}
 }
 
-// pass advances the time by the period in steps of half a millisecond and delivers the events that are due.
-func (cc *claimCluster) pass(period time.Duration) {
+// advance advances the time by the period in steps of half a millisecond and delivers the events that are due.
+func (cc *claimCluster) advance(period time.Duration) {
 	for until := cc.now.Add(period); cc.now.Before(until); {
 		cc.now = cc.now.Add(500 * time.Microsecond)
 		for _, box := range []*[]delayedEvent{&cc.notes, &cc.wakes} {
@@ -92,7 +92,7 @@
 func (cc *claimCluster) arrive(name string, id steer.RequestID) {
 	cc.reduce(name, steer.Arrived{
 		ID: id, Route: &short, Prompt: 5000, Answer: 1000, Digest: steer.Digest(id),
-		Deadline: cc.now.Add(10 * time.Second), Patience: cc.now.Add(2 * time.Second),
+		Deadline: cc.now.Add(10 * time.Second), LeavesAt: cc.now.Add(2 * time.Second),
 	})
 }
 
@@ -105,10 +105,10 @@
 			for i, name := range cc.names {
 				cc.arrive(name, steer.RequestID(i+1))
 				if i%3 == 2 {
-					cc.pass(500 * time.Microsecond)
+					cc.advance(500 * time.Microsecond)
 				}
 			}
-			cc.pass(100 * time.Millisecond)
+			cc.advance(100 * time.Millisecond)
 			assert.Equal(t, len(cc.sends), 1)
 		})
 	}
@@ -121,7 +121,7 @@
 	for i, name := range cc.names {
 		cc.arrive(name, steer.RequestID(i+1))
 	}
-	cc.pass(150 * time.Millisecond)
+	cc.advance(150 * time.Millisecond)
 	assert.Equal(t, len(cc.sends), 6)
 }
 
@@ -130,10 +130,10 @@
 	cc := newClaimCluster(t, 2, 1, 1500*time.Microsecond)
 	cc.arrive(cc.names[0], 1)
 	cc.reduce(cc.names[0], steer.CallerGone{ID: 1})
-	cc.pass(10 * time.Millisecond)
+	cc.advance(10 * time.Millisecond)
 	assert.Equal(t, len(cc.sends), 0)
 	cc.arrive(cc.names[1], 2)
-	cc.pass(20 * time.Millisecond)
+	cc.advance(20 * time.Millisecond)
 	assert.Equal(t, len(cc.sends), 1)
 	assert.Equal(t, cc.sends[0].ID, steer.RequestID(2))
 }
@@ -144,7 +144,7 @@
 	// free.
 	cc := newClaimCluster(t, 2, 1, 1500*time.Microsecond)
 	cc.arrive(cc.names[0], 1)
-	cc.pass(20 * time.Millisecond)
+	cc.advance(20 * time.Millisecond)
 	assert.Equal(t, len(cc.sends), 1)
 	cc.reduce(cc.names[0], steer.AttemptEnded{ID: 1, Attempt: 1, Result: steer.ResultNotSent})
 	list := replicas(2)[:2]
@@ -152,10 +152,10 @@
 	for _, name := range cc.names {
 		cc.reduce(name, steer.Listed{Replicas: list})
 	}
-	cc.pass(50 * time.Millisecond)
+	cc.advance(50 * time.Millisecond)
 	assert.Equal(t, len(cc.sends), 2)
 	cc.arrive(cc.names[1], 2)
-	cc.pass(50 * time.Millisecond)
+	cc.advance(50 * time.Millisecond)
 	for _, sent := range cc.sends[2:] {
 		assert.Assert(t, sent.Replica.Name != cc.sends[1].Replica.Name)
 	}
--- a/internal/steer/cost.go
+++ b/internal/steer/cost.go
@@ -67,7 +67,7 @@
 // ownPauseLoss returns the loss of the request's own value if every pass of the engine is longer than the pause that its caller
 // was promised. It keeps streams off an engine that has become several times slower than declared but still answers.
 func (st *State) ownPauseLoss(eng *decl.Engine, req *request, out *forecast) float64 {
-	wk := work{gap: req.gap, leaves: req.Patience.Sub(req.at), value: req.value}
+	wk := work{gap: req.gap, leaves: req.LeavesAt.Sub(req.at), value: req.value}
 	return st.tune.pauseLoss(&wk, out.slow*float64(eng.Stride)*out.step)
 }
 
--- a/internal/steer/effect.go
+++ b/internal/steer/effect.go
@@ -14,14 +14,14 @@
 	Helpers []Helper
 	// Priority is passed on to the engine; 0 is the most urgent.
 	Priority int
-	// Fresh requests a new connection. The replica may just have closed an idle keep-alive connection, and a request that
+	// NewConnection requests a new connection. The replica may just have closed an idle keep-alive connection, and a request that
 	// breaks on it could not be retried because it may have run.
-	Fresh    bool
-	Deadline time.Time
-	// FirstBy is the timeout for the first byte of the answer.
-	FirstBy time.Duration
-	// GapBy is the timeout between two parts of the answer.
-	GapBy time.Duration
+	NewConnection bool
+	Deadline      time.Time
+	// FirstTimeout is the timeout for the first byte of the answer.
+	FirstTimeout time.Duration
+	// GapTimeout is the timeout between two parts of the answer.
+	GapTimeout time.Duration
 }
 
 // Helper is a replica that reads a part of the prompt for the replica that answers.
@@ -42,8 +42,8 @@
 	ID RequestID
 	// Refusal is nil if the caller has its complete answer, has disconnected, or gets the last replica's answer unchanged.
 	Refusal *Refusal
-	// Deliver passes a replica's error answer on to the caller.
-	Deliver bool
+	// DeliverFailure passes a replica's error answer on to the caller.
+	DeliverFailure bool
 }
 
 // Reason is why a request was refused or failed.
@@ -74,21 +74,21 @@
 	RetryAfter time.Duration
 }
 
-// Tell sends a note to other instances. The note may be lost.
-type Tell struct {
+// SendNote sends a note to other instances. The note may be lost.
+type SendNote struct {
 	Note Note
 	// To names the receivers, nil for all other instances.
 	To []string
 }
 
-// Survey queries engines for their load. A Surveyed follows for each engine that answers.
-type Survey struct{ Replicas []Replica }
+// QueryLoad queries engines for their load. A Surveyed follows for each engine that answers.
+type QueryLoad struct{ Replicas []Replica }
 
 // Wake requests a Ticked after the given time.
 type Wake struct{ After time.Duration }
 
-// Line is a log line about a decision.
-type Line struct {
+// LogLine is a log line about a decision.
+type LogLine struct {
 	// Message also names the counter of such decisions, so a change of it renames a metric.
 	Message string
 	Request string
@@ -109,16 +109,16 @@
 	// PerS is a rate limit in requests per second.
 	PerS float64
 	// End is set on the last line of a request that was admitted.
-	End *End
+	End *Outcome
 }
 
-// End is the outcome of a request, from which the utility that it lost and the cause of the loss can be derived.
-type End struct {
+// Outcome is the outcome of a request, from which the utility that it lost and the cause of the loss can be derived.
+type Outcome struct {
 	Route string
 	// Value is the utility that an answer in time would have had.
 	Value float64
-	// Back reports whether the caller seems to have tried before.
-	Back bool
+	// TriedBefore reports whether the caller seems to have tried before.
+	TriedBefore bool
 	// Goal is the age at which the answer should have begun.
 	Goal time.Duration
 	// First is the age at which the answer began, 0 if it did not.
@@ -131,10 +131,10 @@
 	PauseAt time.Duration
 }
 
-func (Send) isEffect()   {}
-func (Abort) isEffect()  {}
-func (Finish) isEffect() {}
-func (Tell) isEffect()   {}
-func (Survey) isEffect() {}
-func (Wake) isEffect()   {}
-func (Line) isEffect()   {}
+func (Send) isEffect()      {}
+func (Abort) isEffect()     {}
+func (Finish) isEffect()    {}
+func (SendNote) isEffect()  {}
+func (QueryLoad) isEffect() {}
+func (Wake) isEffect()      {}
+func (LogLine) isEffect()   {}
--- a/internal/steer/event.go
+++ b/internal/steer/event.go
@@ -33,11 +33,11 @@
 	Answer int64
 	// Deadline is when the request must have ended for its caller.
 	Deadline time.Time
-	// Patience is when the caller is expected to leave if no answer has begun.
-	Patience time.Time
-	// Given is the remaining time that the caller announced, 0 if it announced none.
-	Given  time.Duration
-	Digest Digest
+	// LeavesAt is when the caller is expected to leave if no answer has begun.
+	LeavesAt time.Time
+	// StatedTimeout is the remaining time that the caller announced, 0 if it announced none.
+	StatedTimeout time.Duration
+	Digest        Digest
 }
 
 // CallerGone reports that the caller closed its connection.
@@ -97,8 +97,8 @@
 	PauseAt time.Time
 	// Status is the HTTP status of the replica's answer, 0 if there was none.
 	Status int
-	// At is the name or address of the replica at fault if that is not the one asked, empty if unknown.
-	At string
+	// FaultAt is the name or address of the replica at fault if that is not the one asked, empty if unknown.
+	FaultAt string
 }
 
 // Replica is one incarnation of an upstream process.
@@ -119,18 +119,18 @@
 // Listed carries the complete list of registered replicas.
 type Listed struct {
 	Replicas []Replica
-	// Away reports whether the list was unavailable until now, so that live replicas may be missing from it.
-	Away bool
+	// AfterOutage reports whether the list was unavailable until now, so that live replicas may be missing from it.
+	AfterOutage bool
 }
 
-// Relisted carries the changes of the list of registered replicas.
-type Relisted struct {
+// ListChanged carries the changes of the list of registered replicas.
+type ListChanged struct {
 	// Replicas holds the replicas that were registered or changed.
 	Replicas []Replica
 	// Gone names the replicas that are no longer registered.
 	Gone []string
-	// Away reports whether the list was unavailable until now, so that a live replica may be in Gone.
-	Away bool
+	// AfterOutage reports whether the list was unavailable until now, so that a live replica may be in Gone.
+	AfterOutage bool
 }
 
 // Configured carries the configuration version in force.
@@ -139,11 +139,11 @@
 // Peered carries the other live instances.
 type Peered struct{ Instances []Instance }
 
-// Heard carries a note received from another instance.
-type Heard struct{ Note Note }
+// NoteReceived carries a note received from another instance.
+type NoteReceived struct{ Note Note }
 
-// Surveyed carries an engine's own load report, the answer to a Survey.
-type Surveyed struct {
+// LoadReported carries an engine's own load report, the answer to a Survey.
+type LoadReported struct {
 	Replica string
 	// Running counts the requests that the engine runs or has queued.
 	Running int
@@ -151,8 +151,8 @@
 	Used int64
 }
 
-// Answered reports the header of a replica's answer to any kind of request.
-type Answered struct {
+// ResponseReceived reports the header of a replica's answer to any kind of request.
+type ResponseReceived struct {
 	Replica string
 	// Born identifies the incarnation that answered.
 	Born int64
@@ -166,10 +166,10 @@
 
 // Draining reports that the instance was asked to shut down.
 type Draining struct {
-	// Hold is when the requests that still wait for a replica are refused.
-	Hold time.Time
-	// Stop is when the attempts that are still running are aborted.
-	Stop time.Time
+	// RefuseWaitingAt is when the requests that still wait for a replica are refused.
+	RefuseWaitingAt time.Time
+	// AbortAt is when the attempts that are still running are aborted.
+	AbortAt time.Time
 }
 
 // Ticked reports that time has passed: timers are checked and waiting requests dispatched.
@@ -178,18 +178,18 @@
 // Summarized requests the notes that repeat the instance's whole state, so that the others recover from lost notes.
 type Summarized struct{}
 
-func (Arrived) isEvent()      {}
-func (CallerGone) isEvent()   {}
-func (Began) isEvent()        {}
-func (Progressed) isEvent()   {}
-func (AttemptEnded) isEvent() {}
-func (Listed) isEvent()       {}
-func (Relisted) isEvent()     {}
-func (Configured) isEvent()   {}
-func (Peered) isEvent()       {}
-func (Heard) isEvent()        {}
-func (Surveyed) isEvent()     {}
-func (Answered) isEvent()     {}
-func (Draining) isEvent()     {}
-func (Ticked) isEvent()       {}
-func (Summarized) isEvent()   {}
+func (Arrived) isEvent()          {}
+func (CallerGone) isEvent()       {}
+func (Began) isEvent()            {}
+func (Progressed) isEvent()       {}
+func (AttemptEnded) isEvent()     {}
+func (Listed) isEvent()           {}
+func (ListChanged) isEvent()      {}
+func (Configured) isEvent()       {}
+func (Peered) isEvent()           {}
+func (NoteReceived) isEvent()     {}
+func (LoadReported) isEvent()     {}
+func (ResponseReceived) isEvent() {}
+func (Draining) isEvent()         {}
+func (Ticked) isEvent()           {}
+func (Summarized) isEvent()       {}
--- a/internal/steer/grant.go
+++ b/internal/steer/grant.go
@@ -231,6 +231,6 @@
 			grant.AfterMs, grant.Refused = millis(after+time.Millisecond-1), !ok
 		}
 		reply.Grants = []Grant{grant}
-		st.emit(Tell{Note: st.note(reply), To: []string{from}})
+		st.emit(SendNote{Note: st.note(reply), To: []string{from}})
 	}
 }
--- a/internal/steer/life_test.go
+++ b/internal/steer/life_test.go
@@ -140,18 +140,18 @@
 		}
 		lw := newLimitWorld(rapid.Uint64().Draw(rt, "seed"), rapid.IntRange(1, 5).Draw(rt, "instances"), list, tightBudget)
 		lw.loss = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "loss")
-		lw.doubled = rapid.SampledFrom([]float64{0, 0.2}).Draw(rt, "doubled")
+		lw.duplicated = rapid.SampledFrom([]float64{0, 0.2}).Draw(rt, "doubled")
 		lw.slow = rapid.SampledFrom([]float64{0, 0.1}).Draw(rt, "slow")
 		rhs := &requestHistories{rt: rt, lw: lw, byID: map[steer.RequestID]*requestHistory{}}
 		lw.outcome, lw.ended = rhs.outcome, rhs.ended
 		for _, rep := range lw.replicas {
 			if rapid.IntRange(0, 3).Draw(rt, "limited") == 0 {
-				lw.name(rep.Name, rapid.Float64Range(0, 6).Draw(rt, "limit"))
+				lw.setLimit(rep.Name, rapid.Float64Range(0, 6).Draw(rt, "limit"))
 			}
 		}
-		lw.pass(time.Second)
+		lw.advance(time.Second)
 		for range rapid.IntRange(5, 120).Draw(rt, "steps") {
-			lw.pass(time.Duration(rapid.IntRange(0, 60).Draw(rt, "pause")) * time.Millisecond)
+			lw.advance(time.Duration(rapid.IntRange(0, 60).Draw(rt, "pause")) * time.Millisecond)
 			switch rapid.IntRange(0, 20).Draw(rt, "step") {
 			case 0:
 				lw.disturb(rt)
@@ -164,7 +164,7 @@
 			}
 		}
 		lw.loss, lw.slow = 0, 0
-		lw.pass(40 * time.Second)
+		lw.advance(40 * time.Second)
 		rhs.checkInvariants()
 	})
 }
--- a/internal/steer/limit.go
+++ b/internal/steer/limit.go
@@ -23,10 +23,10 @@
 	// minRate replaces any lower limit, in requests a second. A replica that receives no requests sends no answers, so it
 	// could never announce that its limit has ended.
 	minRate = 0.25
-	// TicketRenew is the interval at which a memory reservation at a replica is renewed.
-	TicketRenew = 1200 * time.Millisecond
+	// ReservationRenewInterval is the interval at which a memory reservation at a replica is renewed.
+	ReservationRenewInterval = 1200 * time.Millisecond
 	// reservationRate is the number of requests a second that renewing one reservation takes.
-	reservationRate = float64(time.Second) / float64(TicketRenew)
+	reservationRate = float64(time.Second) / float64(ReservationRenewInterval)
 	// limitProbeAge is the age of a limit from which placement prefers the replica, so that a request checks whether the limit
 	// still holds.
 	limitProbeAge = 2 * time.Second
@@ -84,7 +84,7 @@
 }
 
 // answered applies what an answer states about its replica's limit.
-func (st *State) answered(ev Answered) {
+func (st *State) answered(ev ResponseReceived) {
 	rep, ok := st.replicas[ev.Replica]
 	if !ok || rep.Born != ev.Born {
 		return
@@ -116,7 +116,7 @@
 	}
 	if rep.limit == nil {
 		rep.limit = &rateLimit{perS: perS, reportedAt: heard, bucket: rate.NewLimiter(rate.Limit(perS), limitBurst), grants: map[jobKey]time.Time{}}
-		st.emit(Line{Message: "rate limit announced by replica", Replica: rep.Name, PerS: perS, Age: st.now.Sub(heard)})
+		st.emit(LogLine{Message: "rate limit announced by replica", Replica: rep.Name, PerS: perS, Age: st.now.Sub(heard)})
 		return true
 	}
 	if !heard.After(rep.limit.reportedAt) {
@@ -127,7 +127,7 @@
 		return false
 	}
 	rep.limit.perS = perS
-	st.emit(Line{Message: "rate limit changed", Replica: rep.Name, PerS: perS, Age: st.now.Sub(heard)})
+	st.emit(LogLine{Message: "rate limit changed", Replica: rep.Name, PerS: perS, Age: st.now.Sub(heard)})
 	return true
 }
 
@@ -139,7 +139,7 @@
 	}
 	rep.limit = nil
 	rep.limitEnded = sent
-	st.emit(Line{Message: "rate limit ended", Replica: rep.Name, Age: st.now.Sub(sent)})
+	st.emit(LogLine{Message: "rate limit ended", Replica: rep.Name, Age: st.now.Sub(sent)})
 	return true
 }
 
@@ -169,7 +169,7 @@
 		}
 		to = []string{granter}
 	}
-	st.emit(Tell{Note: st.note(Note{Limits: []Limit{lim}}), To: to})
+	st.emit(SendNote{Note: st.note(Note{Limits: []Limit{lim}}), To: to})
 }
 
 // summarizeLimits repeats the limits of the replicas for which this instance grants sends. The cost grows with the number of
@@ -184,7 +184,7 @@
 	}
 	for _, sub := range sortedSubsets(limits) {
 		for part := range slices.Chunk(limits[sub], maxSummaryJobs) {
-			st.emit(Tell{Note: st.note(Note{Limits: part}), To: st.users(sub)})
+			st.emit(SendNote{Note: st.note(Note{Limits: part}), To: st.users(sub)})
 		}
 	}
 }
@@ -282,7 +282,7 @@
 	}
 	at := st.now.Add(-time.Duration(job.Age) * time.Millisecond)
 	rep.recordSend(st.now, at)
-	if idx > 0 && idx <= len(job.Tickets) {
+	if idx > 0 && idx <= len(job.Reservations) {
 		rep.recordSend(st.now, at)
 	}
 }
--- a/internal/steer/limit_parts_test.go
+++ b/internal/steer/limit_parts_test.go
@@ -32,15 +32,15 @@
 			lw := newLimitWorld(1, instances, spreadReplicas(120, 6), usualBudget)
 			lw.load(200, 13*time.Second, &short, 5000)
 			lw.load(40, 13*time.Second, &update, 0)
-			lw.pass(2 * time.Second)
+			lw.advance(2 * time.Second)
 			limited := []string{"board-0", "board-1", "board-3"}
 			for i := range 12 {
 				limited = append(limited, fmt.Sprintf("lyric-%d", 9*i))
 			}
 			for _, name := range limited {
-				lw.name(name, 2.1)
+				lw.setLimit(name, 2.1)
 			}
-			lw.pass(12 * time.Second)
+			lw.advance(12 * time.Second)
 			for _, name := range limited {
 				assert.Assert(t, lw.maxExcess(name, 2.1) <= 0, "%s got %d more than allowed", name, lw.maxExcess(name, 2.1))
 				t.Logf("%s got %d in 4 s", name, lw.receivedIn(name, 4*time.Second))
@@ -65,15 +65,15 @@
 				}
 				lw.load(40, 22*time.Second, &short, 5000)
 				lw.load(12, 22*time.Second, &update, 0)
-				lw.pass(2 * time.Second)
+				lw.advance(2 * time.Second)
 				for _, name := range []string{"lyric-0", "board-0", "board-1"} {
-					lw.name(name, 2.1)
+					lw.setLimit(name, 2.1)
 				}
-				lw.pass(5 * time.Second)
+				lw.advance(5 * time.Second)
 				lw.partitioned = func(a, b *limitNode) bool { return part[a] != part[b] }
-				lw.pass(8 * time.Second)
+				lw.advance(8 * time.Second)
 				lw.partitioned = nil
-				lw.pass(6 * time.Second)
+				lw.advance(6 * time.Second)
 				for _, name := range []string{"lyric-0", "board-0", "board-1"} {
 					assert.Assert(t, lw.maxExcess(name, 2.1) <= 0, "%s got %d more than allowed", name, lw.maxExcess(name, 2.1))
 					t.Logf("%s: at least %d below the bound", name, -lw.maxExcess(name, 2.1))
--- a/internal/steer/limit_test.go
+++ b/internal/steer/limit_test.go
@@ -19,11 +19,11 @@
 			t.Parallel()
 			lw := newLimitWorld(1, instances, replicas(4), usualBudget)
 			lw.load(40, 16*time.Second, &short, 5000)
-			lw.pass(2 * time.Second)
+			lw.advance(2 * time.Second)
 			for _, name := range []string{"lyric-0", "lyric-1"} {
-				lw.name(name, 2.1)
+				lw.setLimit(name, 2.1)
 			}
-			lw.pass(14 * time.Second)
+			lw.advance(14 * time.Second)
 			for _, name := range []string{"lyric-0", "lyric-1"} {
 				assert.Assert(t, lw.maxExcess(name, 2.1) <= 0, "%s got %d more than allowed", name, lw.maxExcess(name, 2.1))
 			}
@@ -40,11 +40,11 @@
 			t.Parallel()
 			lw := newLimitWorld(2, instances, replicas(1), usualBudget)
 			lw.load(12, 22*time.Second, &update, 0)
-			lw.pass(2 * time.Second)
+			lw.advance(2 * time.Second)
 			for _, name := range []string{"board-0", "board-1"} {
-				lw.name(name, 3)
+				lw.setLimit(name, 3)
 			}
-			lw.pass(20 * time.Second)
+			lw.advance(20 * time.Second)
 			for _, name := range []string{"board-0", "board-1"} {
 				assert.Assert(t, lw.maxExcess(name, 3) <= 0, "%s got %d more than allowed", name, lw.maxExcess(name, 3))
 				used := lw.receivedIn(name, 12*time.Second)
@@ -72,10 +72,10 @@
 			arrived, served := map[string]int{}, map[string]int{}
 			for seed := uint64(1); seed <= 10; seed++ {
 				lw := newLimitWorld(seed, 9, replicas(1), usualBudget)
-				lw.name("lyric-0", 3)
+				lw.setLimit("lyric-0", 3)
 				lw.load(10, 30*time.Second, &patient, 5000)
 				lw.load(tc.long, 30*time.Second, &long, 45_000)
-				lw.pass(32 * time.Second)
+				lw.advance(32 * time.Second)
 				for _, route := range []string{"long", "patient"} {
 					arrived[route] += lw.arrived[route]
 					served[route] += lw.served[route]
@@ -93,12 +93,12 @@
 	// fully again.
 	lw := newLimitWorld(3, 9, replicas(1), usualBudget)
 	lw.load(12, 30*time.Second, &update, 0)
-	lw.pass(2 * time.Second)
-	lw.name("board-0", 0)
-	lw.pass(8 * time.Second)
+	lw.advance(2 * time.Second)
+	lw.setLimit("board-0", 0)
+	lw.advance(8 * time.Second)
 	assert.Assert(t, lw.receivedIn("board-0", 4*time.Second) <= 5)
 	lw.endLimit("board-0")
-	lw.pass(6 * time.Second)
+	lw.advance(6 * time.Second)
 	for _, node := range lw.nodes {
 		assert.Equal(t, len(node.st.Limits(lw.now)), 0, node.name)
 	}
@@ -109,24 +109,24 @@
 	// Answers can overtake each other. An answer without a limit to a request that was sent before the limit arrived must
 	// not end the limit.
 	in := newInstance(t, "one", 2)
-	in.reduce(steer.Answered{Replica: "lyric-0", Born: 1, Sent: in.now, Limited: true, PerS: 2})
-	in.reduce(steer.Answered{Replica: "lyric-0", Born: 1, Sent: in.now.Add(-time.Millisecond)})
+	in.reduce(steer.ResponseReceived{Replica: "lyric-0", Born: 1, Sent: in.now, Limited: true, PerS: 2})
+	in.reduce(steer.ResponseReceived{Replica: "lyric-0", Born: 1, Sent: in.now.Add(-time.Millisecond)})
 	assert.Equal(t, len(in.st.Limits(in.now)), 1)
 	in.now = in.now.Add(time.Millisecond)
-	in.reduce(steer.Answered{Replica: "lyric-0", Born: 1, Sent: in.now})
+	in.reduce(steer.ResponseReceived{Replica: "lyric-0", Born: 1, Sent: in.now})
 	assert.Equal(t, len(in.st.Limits(in.now)), 0)
 }
 
 func TestNewIncarnationHasNoLimit(t *testing.T) {
 	in := newInstance(t, "one", 1)
-	in.reduce(steer.Answered{Replica: "lyric-0", Born: 1, Sent: in.now, Limited: true, PerS: 2})
+	in.reduce(steer.ResponseReceived{Replica: "lyric-0", Born: 1, Sent: in.now, Limited: true, PerS: 2})
 	list := replicas(1)
 	list[0].Born = 2
 	in.reduce(steer.Listed{Replicas: list})
 	assert.Equal(t, len(in.st.Limits(in.now)), 0)
-	in.reduce(steer.Answered{Replica: "lyric-0", Born: 1, Sent: in.now, Limited: true, PerS: 2})
+	in.reduce(steer.ResponseReceived{Replica: "lyric-0", Born: 1, Sent: in.now, Limited: true, PerS: 2})
 	assert.Equal(t, len(in.st.Limits(in.now)), 0)
-	in.reduce(steer.Heard{Note: steer.Note{From: "two", Run: 1, Limits: []steer.Limit{{Replica: "lyric-0", Born: 1, PerS: 2}}}})
+	in.reduce(steer.NoteReceived{Note: steer.Note{From: "two", Run: 1, Limits: []steer.Limit{{Replica: "lyric-0", Born: 1, PerS: 2}}}})
 	assert.Equal(t, len(in.st.Limits(in.now)), 0)
 }
 
@@ -134,14 +134,14 @@
 	// An instance that knows of a limit only from a note must ask before it sends.
 	in := newInstance(t, "one", 1)
 	in.reduce(steer.Peered{Instances: []steer.Instance{{Name: "two", FailureDomain: "a"}}})
-	in.reduce(steer.Heard{Note: steer.Note{From: "two", Run: 1, Limits: []steer.Limit{{Replica: "lyric-0", Born: 1, PerS: 1}}}})
+	in.reduce(steer.NoteReceived{Note: steer.Note{From: "two", Run: 1, Limits: []steer.Limit{{Replica: "lyric-0", Born: 1, PerS: 1}}}})
 	sent, asked := 0, 0
 	for range 6 {
 		for _, eff := range in.arrive(&short, 5000) {
 			switch eff := eff.(type) {
 			case steer.Send:
 				sent++
-			case steer.Tell:
+			case steer.SendNote:
 				asked += len(eff.Note.Asks)
 			}
 		}
@@ -161,19 +161,19 @@
 		lw.load(float64(rapid.IntRange(2, 40).Draw(rt, "streams")), lasts, &short, 5000)
 		lw.load(float64(rapid.IntRange(1, 30).Draw(rt, "updates")), lasts, &update, 0)
 		lw.load(0.5, lasts, &long, 150_000)
-		lw.pass(2 * time.Second)
+		lw.advance(2 * time.Second)
 		limits := map[string]float64{}
 		for _, rep := range lw.replicas {
 			if rapid.Bool().Draw(rt, "limited") {
 				limits[rep.Name] = rapid.Float64Range(0, 6).Draw(rt, "limit")
-				lw.name(rep.Name, limits[rep.Name])
+				lw.setLimit(rep.Name, limits[rep.Name])
 			}
 		}
 		for range rapid.IntRange(0, 5).Draw(rt, "faults") {
-			lw.pass(time.Duration(rapid.IntRange(0, 2500).Draw(rt, "pause")) * time.Millisecond)
+			lw.advance(time.Duration(rapid.IntRange(0, 2500).Draw(rt, "pause")) * time.Millisecond)
 			lw.disturb(rt)
 		}
-		lw.pass(lasts - lw.now.Sub(start))
+		lw.advance(lasts - lw.now.Sub(start))
 		for name, perS := range limits {
 			if over := lw.maxExcess(name, perS); over > 0 {
 				rt.Fatalf("%s with a limit of %.2f got %d more than allowed", name, perS, over)
--- a/internal/steer/limit_world_test.go
+++ b/internal/steer/limit_world_test.go
@@ -33,8 +33,8 @@
 	refusals     []steer.Refusal
 	// partitioned reports whether notes between two instances are lost. If it is nil, none are.
 	partitioned func(a, b *limitNode) bool
-	// doubled is the share of notes that arrive twice.
-	doubled float64
+	// duplicated is the share of notes that arrive twice.
+	duplicated float64
 	// slow is the share of notes that arrive up to slowNote later.
 	slow float64
 	// outcome draws the end of an attempt and the time until then. If it is nil, all attempts succeed.
@@ -156,7 +156,7 @@
 	})
 }
 
-func (lw *limitWorld) pass(period time.Duration) {
+func (lw *limitWorld) advance(period time.Duration) {
 	until := lw.now.Add(period)
 	for len(lw.steps) > 0 && !lw.steps[0].at.After(until) {
 		next := heap.Pop(&lw.steps).(step)
@@ -184,7 +184,7 @@
 	}
 	for _, eff := range slices.Clone(node.st.Reduce(lw.now, ev)) {
 		switch eff := eff.(type) {
-		case steer.Tell:
+		case steer.SendNote:
 			lw.tell(node, eff)
 		case steer.Wake:
 			lw.inRun(node, eff.After, func() { lw.reduce(node, steer.Ticked{}) })
@@ -207,7 +207,7 @@
 	}
 }
 
-func (lw *limitWorld) tell(from *limitNode, eff steer.Tell) {
+func (lw *limitWorld) tell(from *limitNode, eff steer.SendNote) {
 	for _, node := range lw.nodes {
 		if node == from || eff.To != nil && !slices.Contains(eff.To, node.name) {
 			continue
@@ -215,9 +215,9 @@
 		if lw.partitioned != nil && lw.partitioned(from, node) || lw.now.Before(node.cut) || lw.now.Before(from.cut) || lw.random.Float64() < lw.loss {
 			continue
 		}
-		for range 1 + lw.chance(lw.doubled) {
+		for range 1 + lw.chance(lw.duplicated) {
 			late := time.Duration(lw.chance(lw.slow)) * time.Duration(lw.random.Int64N(int64(slowNote)))
-			lw.after(lw.delay+late+time.Duration(lw.random.Int64N(int64(lw.delay))), func() { lw.reduce(node, steer.Heard{Note: eff.Note}) })
+			lw.after(lw.delay+late+time.Duration(lw.random.Int64N(int64(lw.delay))), func() { lw.reduce(node, steer.NoteReceived{Note: eff.Note}) })
 		}
 	}
 }
@@ -252,7 +252,7 @@
 		end, lasts := lw.outcome(eff)
 		at(lasts, func() {
 			perS, limited = lw.limits[eff.Replica.Name]
-			lw.reduce(node, steer.Answered{Replica: eff.Replica.Name, Born: eff.Replica.Born, Sent: sent, Limited: limited, PerS: perS})
+			lw.reduce(node, steer.ResponseReceived{Replica: eff.Replica.Name, Born: eff.Replica.Born, Sent: sent, Limited: limited, PerS: perS})
 			lw.reduce(node, end)
 		})
 		return
@@ -263,7 +263,7 @@
 				node.passedOnAt[eff.Replica.Name] = lw.now
 			}
 		}
-		lw.reduce(node, steer.Answered{Replica: eff.Replica.Name, Born: eff.Replica.Born, Sent: sent, Limited: limited, PerS: perS})
+		lw.reduce(node, steer.ResponseReceived{Replica: eff.Replica.Name, Born: eff.Replica.Born, Sent: sent, Limited: limited, PerS: perS})
 		lw.reduce(node, steer.Began{ID: eff.ID, Attempt: eff.Attempt})
 	})
 	at(finishTime, func() {
@@ -271,8 +271,8 @@
 	})
 }
 
-// name makes the replica state a limit from now on.
-func (lw *limitWorld) name(replica string, perS float64) {
+// setLimit makes the replica state a limit from now on.
+func (lw *limitWorld) setLimit(replica string, perS float64) {
 	lw.limits[replica] = perS
 	if _, ok := lw.limitedSince[replica]; !ok {
 		lw.limitedSince[replica] = lw.now
@@ -294,7 +294,7 @@
 	lw.arrived[route.Name]++
 	ev := steer.Arrived{
 		ID: lw.nextID, Route: route, Name: "request", Organisation: "parish", Prompt: prompt, Digest: steer.Digest(lw.nextID),
-		Deadline: lw.now.Add(route.Timeout.Std()), Patience: lw.now.Add(max(2*time.Second, 4*route.Goal.Std())),
+		Deadline: lw.now.Add(route.Timeout.Std()), LeavesAt: lw.now.Add(max(2*time.Second, 4*route.Goal.Std())),
 	}
 	if prompt > 0 {
 		ev.Answer = 1000
--- a/internal/steer/list.go
+++ b/internal/steer/list.go
@@ -20,19 +20,19 @@
 		if named[name] || rep.gone {
 			continue
 		}
-		st.removeMissing(name, rep, ev.Away)
+		st.removeMissing(name, rep, ev.AfterOutage)
 	}
 	st.dispatch()
 }
 
 // relisted applies the changes of the list. Its cost grows with the changes, not with the number of replicas.
-func (st *State) relisted(ev Relisted) {
+func (st *State) relisted(ev ListChanged) {
 	for _, item := range ev.Replicas {
 		st.register(item)
 	}
 	for _, name := range ev.Gone {
 		if rep, ok := st.replicas[name]; ok && !rep.gone {
-			st.removeMissing(name, rep, ev.Away)
+			st.removeMissing(name, rep, ev.AfterOutage)
 		}
 	}
 	st.dispatch()
@@ -45,7 +45,7 @@
 		// Leaving is final for an incarnation, even if an older list says otherwise.
 		item.Leaving = item.Leaving || rep.Leaving
 		if item.Leaving && !rep.Leaving {
-			st.emit(Line{Message: "replica leaves", Replica: item.Name})
+			st.emit(LogLine{Message: "replica leaves", Replica: item.Name})
 		}
 		rep.Replica = item
 		if rep.gone {
@@ -67,7 +67,7 @@
 	svc := st.serviceOf(rep.Service)
 	svc.replicas = append(svc.replicas, rep)
 	svc.resetLayout()
-	st.emit(Line{Message: "replica joins", Replica: rep.Name})
+	st.emit(LogLine{Message: "replica joins", Replica: rep.Name})
 }
 
 // removeMissing removes a replica that the list omits. If away is set, the list's store was out of reach until now:
@@ -83,7 +83,7 @@
 		return
 	}
 	delete(st.missing, name)
-	st.emit(Line{Message: "replica is gone", Replica: name})
+	st.emit(LogLine{Message: "replica is gone", Replica: name})
 	st.detach(rep)
 }
 
--- a/internal/steer/loadquery.go
+++ b/internal/steer/loadquery.go
@@ -51,8 +51,8 @@
 		}
 	}
 	if len(engines) > 0 {
-		st.emit(Line{Message: "no older instance heard; engines asked for their load"})
-		st.emit(Survey{Replicas: engines})
+		st.emit(LogLine{Message: "no older instance heard; engines asked for their load"})
+		st.emit(QueryLoad{Replicas: engines})
 	}
 }
 
@@ -71,9 +71,9 @@
 // note from a longer-running peer also drops the load reports booked so far.
 func (st *State) isRedundantReport(nt *Note) bool {
 	if isLoadReport(nt.From) {
-		return st.up() > nt.Up+sameStartTolerance.Milliseconds() || st.hasOlderPeer()
+		return st.up() > nt.UptimeMs+sameStartTolerance.Milliseconds() || st.hasOlderPeer()
 	}
-	if nt.Up > st.up()+sameStartTolerance.Milliseconds() {
+	if nt.UptimeMs > st.up()+sameStartTolerance.Milliseconds() {
 		st.dropLoadReports()
 	}
 	return false
@@ -93,7 +93,7 @@
 
 // loadReported books the part of an engine's load that is not known from notes and announces it to the other instances. Each
 // such request gets an equal share of the reported memory.
-func (st *State) loadReported(ev Surveyed) {
+func (st *State) loadReported(ev LoadReported) {
 	rep, ok := st.replicas[ev.Replica]
 	if !ok {
 		return
@@ -102,11 +102,11 @@
 	if unknown <= 0 {
 		return
 	}
-	nt := Note{From: loadReportPrefix + ev.Replica, Run: st.Options.Run, Up: st.up(), Whole: true}
+	nt := Note{From: loadReportPrefix + ev.Replica, Run: st.Options.Run, UptimeMs: st.up(), Full: true}
 	for id := range unknown {
-		nt.Kept = append(nt.Kept, JobID(id))
+		nt.OpenJobs = append(nt.OpenJobs, JobID(id))
 		nt.Jobs = append(nt.Jobs, Job{ID: JobID(id), Replicas: []string{ev.Replica}, Prompt: max(0, ev.Used) / int64(ev.Running), Begun: true})
 	}
 	st.receiveNote(nt)
-	st.emit(Tell{Note: nt, To: st.users(st.audience(rep))})
+	st.emit(SendNote{Note: nt, To: st.users(st.audience(rep))})
 }
--- a/internal/steer/note.go
+++ b/internal/steer/note.go
@@ -7,12 +7,12 @@
 	From string `cbor:"1,keyasint,omitempty"`
 	// Run distinguishes the runs of that instance.
 	Run int64 `cbor:"2,keyasint,omitempty"`
-	// Up is the uptime of the run in ms.
-	Up int64 `cbor:"3,keyasint,omitempty"`
-	// Whole reports that Kept lists all jobs of the instance, so that any other job of it has ended.
-	Whole bool `cbor:"4,keyasint,omitempty"`
-	// Kept lists the jobs of the instance that have not ended, if Whole is set.
-	Kept []JobID `cbor:"5,keyasint,omitempty"`
+	// UptimeMs is the uptime of the run in ms.
+	UptimeMs int64 `cbor:"3,keyasint,omitempty"`
+	// Full reports that Kept lists all jobs of the instance, so that any other job of it has ended.
+	Full bool `cbor:"4,keyasint,omitempty"`
+	// OpenJobs lists the jobs of the instance that have not ended, if Whole is set.
+	OpenJobs []JobID `cbor:"5,keyasint,omitempty"`
 	// Jobs describes new jobs and, in a summary, jobs that have not ended.
 	Jobs []Job `cbor:"6,keyasint,omitempty"`
 	// Begun lists jobs whose answer has begun.
@@ -47,8 +47,8 @@
 	ID JobID `cbor:"1,keyasint,omitempty"`
 	// Replicas lists the replica that answers, followed by its helpers, which read parts of the prompt.
 	Replicas []string `cbor:"2,keyasint,omitempty"`
-	// Tickets holds the memory in tokens that each helper reserves, in the order of the helpers.
-	Tickets []int64 `cbor:"3,keyasint,omitempty"`
+	// Reservations holds the memory in tokens that each helper reserves, in the order of the helpers.
+	Reservations []int64 `cbor:"3,keyasint,omitempty"`
 	// Prompt is the length of the prompt in tokens.
 	Prompt int64 `cbor:"4,keyasint,omitempty"`
 	// Answer is the maximum length of the answer in tokens.
@@ -57,8 +57,8 @@
 	Goal int32 `cbor:"6,keyasint,omitempty"`
 	// Gap is the longest pause in ms that the caller was promised.
 	Gap int32 `cbor:"7,keyasint,omitempty"`
-	// Leaves is the length of a pause in ms after which the caller leaves.
-	Leaves int32 `cbor:"8,keyasint,omitempty"`
+	// MaxPause is the length of a pause in ms after which the caller leaves.
+	MaxPause int32 `cbor:"8,keyasint,omitempty"`
 	// Age is how long ago in ms the job was sent.
 	Age int32 `cbor:"9,keyasint,omitempty"`
 	// Begun reports that the answer has begun.
@@ -82,7 +82,7 @@
 		if len(job.Replicas) == 0 || job.Prompt < 0 || job.Answer < 0 || job.Prompt > maxTokens || job.Answer > maxTokens {
 			return false
 		}
-		for _, tokens := range job.Tickets {
+		for _, tokens := range job.Reservations {
 			if tokens < 0 || tokens > maxTokens {
 				return false
 			}
--- a/internal/steer/pace.go
+++ b/internal/steer/pace.go
@@ -57,7 +57,7 @@
 
 // announcePace informs the instances that use the replica how slow it is.
 func (st *State) announcePace(rep *replica) {
-	st.emit(Line{Message: "replica slowdown changed", Replica: rep.Name, Times: rep.slow})
+	st.emit(LogLine{Message: "replica slowdown changed", Replica: rep.Name, Times: rep.slow})
 	sub := st.audience(rep)
 	pend := st.pendingFor(sub, st.sendDelay(sub, maxBatchDelay))
 	pend.note.Paces = append(pend.note.Paces, Pace{Replica: rep.Name, Times: float32(rep.slow)})
--- a/internal/steer/pace_test.go
+++ b/internal/steer/pace_test.go
@@ -42,7 +42,7 @@
 	assert.Assert(t, rep.slow > 3 && rep.slow <= 4, rep.slow)
 	assert.Assert(t, len(announced) > 1 && announced[0].Replica == rep.Name)
 	other := fleet{2, 3, 1}.instance(1)
-	other.Reduce(now, Heard{Note: Note{From: "instance-0", Run: 1, Paces: announced}})
+	other.Reduce(now, NoteReceived{Note: Note{From: "instance-0", Run: 1, Paces: announced}})
 	assert.Assert(t, other.replicas[rep.Name].slow > 2)
 	for id := range RequestID(3) {
 		st.Reduce(now, arrival(now, 10+id, 5000))
@@ -56,7 +56,7 @@
 	st, rep, now := streaming(t)
 	job := Job{ID: 1, Replicas: []string{rep.Name}, Prompt: 20_000, Goal: 400, Gap: 300}
 	pass := declared(st, rep)
-	st.Reduce(now, Heard{Note: Note{From: "instance-1", Run: 1, Jobs: []Job{job}}})
+	st.Reduce(now, NoteReceived{Note: Note{From: "instance-1", Run: 1, Jobs: []Job{job}}})
 	now = now.Add(pass)
 	st.Reduce(now, Progressed{ID: 1, Attempt: 1, Pause: pass})
 	now = now.Add(3 * pass)
@@ -70,7 +70,7 @@
 	// that it has recovered, so the slowdown is reduced step by step until the engine is tried.
 	st := fleet{2, 3, 1}.instance(0)
 	rep := st.replicas["engine-0"]
-	st.Reduce(fleetStart, Heard{Note: Note{From: "instance-1", Run: 1, Paces: []Pace{{Replica: rep.Name, Times: 5}}}})
+	st.Reduce(fleetStart, NoteReceived{Note: Note{From: "instance-1", Run: 1, Paces: []Pace{{Replica: rep.Name, Times: 5}}}})
 	now := fleetStart
 	for range 6 {
 		now = now.Add(paceDecayInterval + time.Second)
@@ -85,7 +85,7 @@
 	for name, times := range map[string]float32{"none": 0, "below zero": -3, "endless": 1e30} {
 		t.Run(name, func(t *testing.T) {
 			st := fleet{2, 3, 1}.instance(0)
-			st.Reduce(fleetStart, Heard{Note: Note{From: "instance-1", Run: 1, Paces: []Pace{{Replica: "engine-0", Times: times}, {Replica: "unknown", Times: 2}}}})
+			st.Reduce(fleetStart, NoteReceived{Note: Note{From: "instance-1", Run: 1, Paces: []Pace{{Replica: "engine-0", Times: times}, {Replica: "unknown", Times: 2}}}})
 			slow := st.replicas["engine-0"].slow
 			assert.Assert(t, slow >= 1 && slow <= maxSlow)
 		})
--- a/internal/steer/pass_test.go
+++ b/internal/steer/pass_test.go
@@ -16,10 +16,10 @@
 	in.next++
 	ev := steer.Arrived{
 		ID: in.next, Route: route, Name: "request", Prompt: prompt, Answer: 1000, Digest: steer.Digest(in.next),
-		Deadline: in.now.Add(route.Timeout.Std()), Patience: in.now.Add(2 * time.Second),
+		Deadline: in.now.Add(route.Timeout.Std()), LeavesAt: in.now.Add(2 * time.Second),
 	}
 	for _, eff := range in.st.Reduce(in.now, ev) {
-		if line, ok := eff.(steer.Line); ok && line.Message == "request sent" {
+		if line, ok := eff.(steer.LogLine); ok && line.Message == "request sent" {
 			return line.Estimate
 		}
 	}
@@ -42,9 +42,9 @@
 		t.Run(name, func(t *testing.T) {
 			in := newInstance(t, "one", 1)
 			sent := find[steer.Send](t, in.arrive(&short, 5000))
-			in.pass(40 * time.Millisecond)
+			in.advance(40 * time.Millisecond)
 			in.reduce(steer.Began{ID: sent.ID, Attempt: 1})
-			in.pass(57 * time.Millisecond)
+			in.advance(57 * time.Millisecond)
 			in.reduce(steer.Progressed{ID: sent.ID, Attempt: 1})
 			in.now = in.now.Add(tc.after)
 			estimate := in.estimate(&short, 5000)
@@ -62,7 +62,7 @@
 	in.reduce(steer.Configured{Routing: &decl.Routing{Version: 2, Services: map[string]decl.Pool{"lyric": {Engine: &timeless}, "board": {}}}})
 	sent := find[steer.Send](t, in.arrive(&short, 5000))
 	in.reduce(steer.Began{ID: sent.ID, Attempt: 1})
-	in.pass(10 * time.Second)
+	in.advance(10 * time.Second)
 	find[steer.Send](t, in.arrive(&short, 5000))
 }
 
@@ -74,10 +74,10 @@
 	list := replicas(2)
 	list[1].FailureDomain = "b"
 	in.reduce(steer.Listed{Replicas: list})
-	in.reduce(steer.Heard{Note: steer.Note{From: "two", Run: 1, Jobs: []steer.Job{
+	in.reduce(steer.NoteReceived{Note: steer.Note{From: "two", Run: 1, Jobs: []steer.Job{
 		{ID: 1, Replicas: []string{"lyric-0"}, Prompt: 5000, Answer: 1000, Goal: 300, Gap: 250, Value: 1.3, Begun: true},
 	}}})
-	in.reduce(steer.Heard{Note: steer.Note{From: "two", Run: 1, Jobs: []steer.Job{
+	in.reduce(steer.NoteReceived{Note: steer.Note{From: "two", Run: 1, Jobs: []steer.Job{
 		{ID: 2, Replicas: []string{"lyric-0"}, Prompt: 17_000, Answer: 1000, Goal: 300, Gap: 250, Value: 1.3},
 	}}})
 	sent := find[steer.Send](t, in.arrive(&short, 13_000))
@@ -92,7 +92,7 @@
 	first := find[steer.Send](t, in.arrive(&long, 100_000))
 	none[steer.Send](t, in.arrive(&long, 60_000))
 	for range 10 {
-		none[steer.Send](t, in.pass(160*time.Millisecond))
+		none[steer.Send](t, in.advance(160*time.Millisecond))
 	}
 	find[steer.Send](t, in.reduce(steer.Began{ID: first.ID, Attempt: 1}))
 }
--- a/internal/steer/peer.go
+++ b/internal/steer/peer.go
@@ -35,7 +35,7 @@
 func (st *State) note(nt Note) Note {
 	nt.From = st.Options.Name
 	nt.Run = st.Options.Run
-	nt.Up = st.up()
+	nt.UptimeMs = st.up()
 	nt.Waiting = len(st.waiting)
 	return nt
 }
@@ -95,17 +95,17 @@
 func (st *State) sendSummary(sub subset, kept []JobID, jobs []Job) {
 	to := st.users(sub)
 	first := min(len(jobs), maxSummaryJobs)
-	st.emit(Tell{Note: st.note(Note{Whole: true, Kept: kept, Jobs: jobs[:first], Demand: st.demand.decayed(st.now)}), To: to})
+	st.emit(SendNote{Note: st.note(Note{Full: true, OpenJobs: kept, Jobs: jobs[:first], Demand: st.demand.decayed(st.now)}), To: to})
 	for part := range slices.Chunk(jobs[first:], maxSummaryJobs) {
-		st.emit(Tell{Note: st.note(Note{Jobs: part}), To: to})
+		st.emit(SendNote{Note: st.note(Note{Jobs: part}), To: to})
 	}
 }
 
 // booked returns the job as which the request is booked, with the time left for its answer as of now.
 func (req *request) booked(now time.Time) Job {
 	job := Job{
-		ID: req.job, Prompt: req.Prompt, Answer: req.Answer, Goal: millis(req.goal.Sub(now)), Gap: millis(req.gap), Leaves: millis(req.Patience.Sub(req.at)),
-		Tickets: req.reservations, Value: float32(req.value), Claim: req.claiming,
+		ID: req.job, Prompt: req.Prompt, Answer: req.Answer, Goal: millis(req.goal.Sub(now)), Gap: millis(req.gap), MaxPause: millis(req.LeavesAt.Sub(req.at)),
+		Reservations: req.reservations, Value: float32(req.value), Claim: req.claiming,
 	}
 	for _, rep := range req.reps {
 		job.Replicas = append(job.Replicas, rep.Name)
@@ -120,9 +120,9 @@
 	}
 	pr := st.peerOf(nt)
 	pr.heardAt = st.now
-	pr.up = nt.Up
+	pr.up = nt.UptimeMs
 	pr.waiting = max(0, nt.Waiting)
-	if nt.Whole {
+	if nt.Full {
 		st.endUnkeptJobs(nt, pr)
 		pr.demand = Demand{}
 		if nt.Demand.valid() {
@@ -175,7 +175,7 @@
 // endUnkeptJobs ends the jobs of the instance that its summary does not list, and drops expired ends.
 func (st *State) endUnkeptJobs(nt Note, pr *peer) {
 	for id := range pr.jobs {
-		if !slices.Contains(nt.Kept, id) {
+		if !slices.Contains(nt.OpenJobs, id) {
 			st.endPeerJob(nt.From, pr, id)
 		}
 	}
@@ -233,7 +233,7 @@
 func (st *State) startJob(key jobKey, job *Job) []*replica {
 	reps := make([]*replica, 0, len(job.Replicas))
 	firstTokens := job.Prompt + job.Answer
-	for _, tokens := range job.Tickets {
+	for _, tokens := range job.Reservations {
 		firstTokens -= tokens
 	}
 	for i, name := range job.Replicas {
@@ -243,7 +243,7 @@
 		}
 		wk := work{
 			key: key, first: i == 0, begun: job.Begun,
-			goal: st.now.Add(time.Duration(job.Goal) * time.Millisecond), gap: time.Duration(job.Gap) * time.Millisecond, leaves: time.Duration(job.Leaves) * time.Millisecond,
+			goal: st.now.Add(time.Duration(job.Goal) * time.Millisecond), gap: time.Duration(job.Gap) * time.Millisecond, leaves: time.Duration(job.MaxPause) * time.Millisecond,
 			value: float64(job.Value), sent: st.now, claim: job.Claim, alone: len(job.Replicas) == 1,
 		}
 		if key.from != "" {
@@ -261,8 +261,8 @@
 			switch {
 			case wk.first:
 				wk.tokens = firstTokens
-			case i <= len(job.Tickets):
-				wk.tokens = job.Tickets[i-1]
+			case i <= len(job.Reservations):
+				wk.tokens = job.Reservations[i-1]
 			}
 		}
 		rep.start(eng, &st.tune, st.now, wk)
--- a/internal/steer/place_test.go
+++ b/internal/steer/place_test.go
@@ -29,7 +29,7 @@
 	// A prompt of 400,000 tokens does not fit into the 315,000 of one engine. The helpers must reserve the memory that
 	// the first engine lacks.
 	in := newInstance(t, "one", 8)
-	sent := in.within(time.Second, in.arrive(&long, 400_000))
+	sent := in.waitForSend(time.Second, in.arrive(&long, 400_000))
 	var reserved int64
 	for _, helper := range sent.Helpers {
 		assert.Assert(t, helper.Tokens <= figures.Memory)
@@ -47,7 +47,7 @@
 	for range 12 {
 		sent := find[steer.Send](t, in.arrive(&short, 5000))
 		busy[sent.Replica.Name] = true
-		in.pass(150 * time.Millisecond)
+		in.advance(150 * time.Millisecond)
 		in.reduce(steer.Began{ID: sent.ID, Attempt: 1})
 	}
 	assert.Assert(t, len(busy) < 6, busy)
@@ -65,17 +65,17 @@
 	in := newInstance(t, "one", 1)
 	first := find[steer.Send](t, in.arrive(&long, 100_000))
 	none[steer.Send](t, in.arrive(&long, 40_000))
-	none[steer.Send](t, in.pass(1400*time.Millisecond))
+	none[steer.Send](t, in.advance(1400*time.Millisecond))
 	find[steer.Send](t, in.reduce(steer.Began{ID: first.ID, Attempt: 1}))
 }
 
 func TestWorkOfOtherInstancesCounts(t *testing.T) {
 	// Another instance has sent a long prompt to engine 0 and announced it. This instance must use the other engine.
 	in := newInstance(t, "one", 2)
-	in.reduce(steer.Heard{Note: steer.Note{From: "two", Run: 1, Jobs: []steer.Job{{
+	in.reduce(steer.NoteReceived{Note: steer.Note{From: "two", Run: 1, Jobs: []steer.Job{{
 		ID: 1, Replicas: []string{"lyric-0"}, Prompt: 154_000, Answer: 1000, Goal: 3000, Gap: 1000, Value: 20,
 	}}}})
-	sent := in.within(time.Second, in.arrive(&long, 60_000))
+	sent := in.waitForSend(time.Second, in.arrive(&long, 60_000))
 	assert.Equal(t, sent.Replica.Name, "lyric-1")
 	assert.Equal(t, len(sent.Helpers), 0)
 }
@@ -84,11 +84,11 @@
 	// An instance dies with work in progress, which its engines drop with its connections. Guards against counting that
 	// work any longer than a few seconds.
 	in := newInstance(t, "one", 1)
-	in.reduce(steer.Heard{Note: steer.Note{From: "two", Run: 1, Jobs: []steer.Job{{
+	in.reduce(steer.NoteReceived{Note: steer.Note{From: "two", Run: 1, Jobs: []steer.Job{{
 		ID: 1, Replicas: []string{"lyric-0"}, Prompt: 300_000, Answer: 1000, Goal: 3000, Gap: 1000, Value: 20,
 	}}}})
 	none[steer.Send](t, in.arrive(&long, 100_000))
-	find[steer.Send](t, append(in.pass(4100*time.Millisecond), in.arrive(&long, 90_000)...))
+	find[steer.Send](t, append(in.advance(4100*time.Millisecond), in.arrive(&long, 90_000)...))
 }
 
 func TestFewInstancesTakeTheOneFreeSlot(t *testing.T) {
@@ -124,13 +124,13 @@
 	for id := range figures.Slots {
 		nt.Jobs = append(nt.Jobs, steer.Job{ID: steer.JobID(id), Replicas: []string{"lyric-0"}, Prompt: 1000, Goal: 300, Gap: 250, Begun: true})
 	}
-	in.reduce(steer.Heard{Note: nt})
+	in.reduce(steer.NoteReceived{Note: nt})
 	none[steer.Send](t, in.arrive(&short, 2000))
 	in.now = in.now.Add(20 * time.Millisecond)
-	in.reduce(steer.Heard{Note: steer.Note{From: "two", Run: 1, Ended: []steer.JobID{0}}})
+	in.reduce(steer.NoteReceived{Note: steer.Note{From: "two", Run: 1, Ended: []steer.JobID{0}}})
 	// An instance that takes the slot claims it now and sends the request a moment later.
 	in.reduce(steer.Ticked{})
-	for _, eff := range in.pass(5 * time.Millisecond) {
+	for _, eff := range in.advance(5 * time.Millisecond) {
 		if _, ok := eff.(steer.Send); ok {
 			return 1
 		}
@@ -143,26 +143,26 @@
 	// callers wait when asked to. A caller that retries has no further try, so its request keeps waiting.
 	in := newInstance(t, "one", 0)
 	none[steer.Finish](t, in.arrive(&short, 5000))
-	fin := find[steer.Finish](t, in.pass(250*time.Millisecond))
+	fin := find[steer.Finish](t, in.advance(250*time.Millisecond))
 	assert.Equal(t, fin.Refusal.Reason, steer.ReasonBusy)
 	assert.Assert(t, fin.Refusal.NotRun)
 	assert.Assert(t, fin.Refusal.RetryAfter > 0 && fin.Refusal.RetryAfter <= short.Timeout.Std()/3, fin.Refusal.RetryAfter)
 
-	in.reduce(steer.Arrived{ID: 98, Route: &short, Prompt: 5000, Answer: 1000, Digest: 98, Given: 10 * time.Second, Deadline: in.now.Add(10 * time.Second), Patience: in.now.Add(2 * time.Second)})
-	find[steer.Finish](t, in.pass(250*time.Millisecond))
-	back := steer.Arrived{ID: 99, Given: 8 * time.Second, Route: &short, Prompt: 5000, Answer: 1000, Digest: 99, Deadline: in.now.Add(8 * time.Second), Patience: in.now.Add(2 * time.Second)}
+	in.reduce(steer.Arrived{ID: 98, Route: &short, Prompt: 5000, Answer: 1000, Digest: 98, StatedTimeout: 10 * time.Second, Deadline: in.now.Add(10 * time.Second), LeavesAt: in.now.Add(2 * time.Second)})
+	find[steer.Finish](t, in.advance(250*time.Millisecond))
+	back := steer.Arrived{ID: 99, StatedTimeout: 8 * time.Second, Route: &short, Prompt: 5000, Answer: 1000, Digest: 99, Deadline: in.now.Add(8 * time.Second), LeavesAt: in.now.Add(2 * time.Second)}
 	in.reduce(back)
-	none[steer.Finish](t, in.pass(250*time.Millisecond))
-	find[steer.Finish](t, in.pass(1800*time.Millisecond))
+	none[steer.Finish](t, in.advance(250*time.Millisecond))
+	find[steer.Finish](t, in.advance(1800*time.Millisecond))
 }
 
 func TestRequestsThatCanMeetTheirGoalGoFirst(t *testing.T) {
 	// Requests pile up while the engine is away. Guards against sending them in the order of arrival once it is back,
 	// which makes every one of them late: one that can still be in time goes before those that are late already.
 	in := newInstance(t, "one", 0)
-	old := steer.Arrived{ID: 50, Route: &short, Prompt: 5000, Answer: 1000, Digest: 50, Deadline: in.now.Add(9 * time.Second), Patience: in.now.Add(2 * time.Second)}
+	old := steer.Arrived{ID: 50, Route: &short, Prompt: 5000, Answer: 1000, Digest: 50, Deadline: in.now.Add(9 * time.Second), LeavesAt: in.now.Add(2 * time.Second)}
 	in.reduce(old)
-	in.pass(400 * time.Millisecond)
+	in.advance(400 * time.Millisecond)
 	in.arrive(&short, 5000)
 	list := replicas(1)
 	list[0].Slots = 1
@@ -211,18 +211,18 @@
 					record(in.reduce(steer.AttemptEnded{ID: id, Attempt: sent.Attempt, Result: result, Died: rapid.Bool().Draw(rt, "died")}))
 				}
 			case 2:
-				record(in.pass(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms")) * time.Millisecond))
+				record(in.advance(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms")) * time.Millisecond))
 			case 3:
 				record(in.reduce(steer.CallerGone{ID: steer.RequestID(rapid.IntRange(1, 20).Draw(rt, "gone"))}))
 			case 4:
-				record(in.reduce(steer.Listed{Replicas: replicas(rapid.IntRange(0, 4).Draw(rt, "listed")), Away: rapid.Bool().Draw(rt, "away")}))
+				record(in.reduce(steer.Listed{Replicas: replicas(rapid.IntRange(0, 4).Draw(rt, "listed")), AfterOutage: rapid.Bool().Draw(rt, "away")}))
 			case 5:
 				for _, id := range slices.Sorted(maps.Keys(running)) {
 					record(in.reduce(steer.Began{ID: id, Attempt: running[id].Attempt}))
 				}
 			}
 		}
-		record(in.pass(20 * time.Second))
+		record(in.advance(20 * time.Second))
 		for len(running) > 0 {
 			id := slices.Min(slices.Collect(maps.Keys(running)))
 			attempt := running[id].Attempt
@@ -235,6 +235,6 @@
 			assert.Equal(rt, finished[id], 1)
 			assert.Assert(rt, runs[id] <= 2)
 		}
-		assert.Equal(rt, in.summarized(), 0)
+		assert.Equal(rt, in.summarizedJobs(), 0)
 	})
 }
--- a/internal/steer/price_test.go
+++ b/internal/steer/price_test.go
@@ -11,7 +11,7 @@
 
 // hearDemand sends the instance a note with the demand at another one.
 func (in *instance) hearDemand(dm steer.Demand) {
-	in.reduce(steer.Heard{Note: steer.Note{From: "two", Run: 1, Whole: true, Demand: dm}})
+	in.reduce(steer.NoteReceived{Note: steer.Note{From: "two", Run: 1, Full: true, Demand: dm}})
 	in.reduce(steer.Summarized{})
 }
 
@@ -23,7 +23,7 @@
 			ID: steer.JobID(engine), Replicas: []string{replicas(engines)[engine].Name}, Prompt: 100_000, Answer: 1000, Goal: 3000, Gap: 1000, Value: 10,
 		})
 	}
-	in.reduce(steer.Heard{Note: nt})
+	in.reduce(steer.NoteReceived{Note: nt})
 }
 
 func TestEngineTimeIsPricedByDemand(t *testing.T) {
--- a/internal/steer/quarantine.go
+++ b/internal/steer/quarantine.go
@@ -34,8 +34,8 @@
 func (st *State) countDeath(req *request) {
 	count := st.quarantine.deaths[req.Digest] + 1
 	st.rememberDeath(req.Digest, count)
-	st.emit(Tell{Note: st.note(Note{Deaths: []Death{{Digest: req.Digest, Count: count}}})})
-	st.emit(Line{Message: "replica died under request", Request: req.Name, Replica: req.reps[0].Name, Attempt: count})
+	st.emit(SendNote{Note: st.note(Note{Deaths: []Death{{Digest: req.Digest, Count: count}}})})
+	st.emit(LogLine{Message: "replica died under request", Request: req.Name, Replica: req.reps[0].Name, Attempt: count})
 }
 
 // rememberDeath raises the death count of the content to count and restarts its quarantine time.
--- a/internal/steer/queue.go
+++ b/internal/steer/queue.go
@@ -77,9 +77,9 @@
 	var expired, outOfTime, draining, limited []*request
 	for _, req := range st.waiting {
 		switch {
-		case st.drain != nil && !st.now.Before(st.drain.Hold):
+		case st.drain != nil && !st.now.Before(st.drain.RefuseWaitingAt):
 			draining = append(draining, req)
-		case !st.now.Before(req.Deadline) || !req.begun && !st.now.Before(req.Patience) || st.waitedTooLong(req):
+		case !st.now.Before(req.Deadline) || !req.begun && !st.now.Before(req.LeavesAt) || st.waitedTooLong(req):
 			expired = append(expired, req)
 		case req.hasTurn():
 		case req.attempt == 0 && !req.triedBefore && st.outOfTime(req):
@@ -118,7 +118,7 @@
 	if req.begun || req.attempt == 0 && !req.triedBefore || req.attempt > 0 && st.serviceOf(req.service).engine == nil {
 		return false
 	}
-	given := req.Given
+	given := req.StatedTimeout
 	if given == 0 {
 		given = req.Deadline.Sub(req.at)
 	}
@@ -129,14 +129,14 @@
 // counts from the first try, which was at least as long ago as its time is short. The caller may have no further try, so
 // the request waits for as long as it can.
 func (st *State) detectRetry(req *request) {
-	full := max(st.longestTimeouts[req.Route.Name], req.Given)
+	full := max(st.longestTimeouts[req.Route.Name], req.StatedTimeout)
 	st.longestTimeouts[req.Route.Name] = full
 	minGiven := time.Duration(st.tune.MinFirstTryShare * float64(full))
-	if req.Given == 0 || req.Given >= minGiven {
+	if req.StatedTimeout == 0 || req.StatedTimeout >= minGiven {
 		return
 	}
 	req.triedBefore = true
-	req.goal = req.goal.Add(req.Given - minGiven)
+	req.goal = req.goal.Add(req.StatedTimeout - minGiven)
 	st.markLate(req)
 }
 
@@ -153,11 +153,11 @@
 		return
 	}
 	if req.goal.After(st.now) {
-		st.emit(Line{Message: "goal out of reach", Request: req.Name, Age: st.now.Sub(req.at), Estimate: readTime, Tokens: req.Prompt})
+		st.emit(LogLine{Message: "goal out of reach", Request: req.Name, Age: st.now.Sub(req.at), Estimate: readTime, Tokens: req.Prompt})
 	}
 	req.late = true
 	req.originalGoal, req.originalValue = req.goal, req.value
-	req.goal = req.Patience
+	req.goal = req.LeavesAt
 	req.value *= 1 - st.tune.LateShare
 }
 
--- a/internal/steer/queue_test.go
+++ b/internal/steer/queue_test.go
@@ -26,7 +26,7 @@
 	in.hearDemand(steer.Demand{Value: 40_000, Reading: 400, Room: 400})
 	in.occupyAllButTwo(6)
 	none[steer.Send](t, in.arrive(&route, 400_000))
-	fin := find[steer.Finish](t, in.pass(700*time.Millisecond))
+	fin := find[steer.Finish](t, in.advance(700*time.Millisecond))
 	assert.Equal(t, fin.Refusal.Reason, steer.ReasonBusy)
 	assert.Assert(t, fin.Refusal.NotRun && fin.Refusal.RetryAfter > 0)
 }
--- a/internal/steer/retry.go
+++ b/internal/steer/retry.go
@@ -28,7 +28,7 @@
 	switch {
 	case ev.Result == ResultDone:
 		st.finish(req, Finish{ID: req.ID}, "answered")
-	case st.drain != nil && !st.now.Before(st.drain.Stop):
+	case st.drain != nil && !st.now.Before(st.drain.AbortAt):
 		st.refuse(req, ReasonDraining, drainRetryDelay)
 	case req.disconnected || ev.Result == ResultCancelled:
 		st.finish(req, Finish{ID: req.ID}, "caller left")
@@ -40,7 +40,7 @@
 
 // recordOutcome updates the health of the replica at fault from the result of an attempt.
 func (st *State) recordOutcome(req *request, ev AttemptEnded) {
-	rep := st.atFault(req, ev.At)
+	rep := st.atFault(req, ev.FaultAt)
 	switch ev.Result {
 	case ResultNotRun:
 		// A refusal that another replica caused names that one: a helper that is leaving or gone.
@@ -64,8 +64,8 @@
 	wasDown := !rep.usable(st.now)
 	rep.failed(st.now)
 	if !wasDown {
-		st.emit(Line{Message: "replica avoided", Replica: rep.Name, Attempt: rep.failures})
-		st.emit(Tell{Note: st.note(Note{Down: []string{rep.Name}})})
+		st.emit(LogLine{Message: "replica avoided", Replica: rep.Name, Attempt: rep.failures})
+		st.emit(SendNote{Note: st.note(Note{Down: []string{rep.Name}})})
 	}
 }
 
@@ -97,7 +97,7 @@
 
 // retry queues the request for another attempt if that is safe, within the limits and in time, and refuses it otherwise.
 func (st *State) retry(req *request, ev AttemptEnded) {
-	st.emit(Line{Message: "attempt failed: " + ev.Result.String(), Request: req.Name, Replica: req.reps[0].Name, Age: st.now.Sub(req.at), Attempt: req.attempt})
+	st.emit(LogLine{Message: "attempt failed: " + ev.Result.String(), Request: req.Name, Replica: req.reps[0].Name, Age: st.now.Sub(req.at), Attempt: req.attempt})
 	req.failureHeld = ev.Result == ResultAnswered || req.failureHeld
 	if !st.now.Before(req.Deadline) {
 		st.refuse(req, ReasonDeadline, 0)
--- a/internal/steer/serve.go
+++ b/internal/steer/serve.go
@@ -26,7 +26,7 @@
 	req.value = st.valueOf(ev.Route.Name, ev.Prompt)
 	st.detectRetry(req)
 	if st.quarantined(ev.Digest) {
-		st.emit(Line{Message: "request refused", Request: ev.Name, Reason: ReasonQuarantine})
+		st.emit(LogLine{Message: "request refused", Request: ev.Name, Reason: ReasonQuarantine})
 		st.emit(Finish{ID: ev.ID, Refusal: &Refusal{Reason: ReasonQuarantine, NotRun: true, RetryAfter: quarantineTime}})
 		return
 	}
@@ -99,7 +99,7 @@
 	req.aborted = false
 	eff := Send{
 		ID: req.ID, Attempt: req.attempt, Replica: pl.reps[0].Replica, Priority: req.Priority,
-		Fresh: req.Route.Repeats == decl.RepeatsNone, Deadline: req.Deadline,
+		NewConnection: req.Route.Repeats == decl.RepeatsNone, Deadline: req.Deadline,
 	}
 	var helpers []string
 	for i, rep := range pl.reps[1:] {
@@ -110,10 +110,10 @@
 		}
 		eff.Helpers = append(eff.Helpers, helper)
 	}
-	eff.FirstBy, eff.GapBy = st.progressTimeouts(req, pl)
+	eff.FirstTimeout, eff.GapTimeout = st.progressTimeouts(req, pl)
 	st.countSends(req)
 	st.emit(eff)
-	st.emit(Line{
+	st.emit(LogLine{
 		Message: "request sent", Request: req.Name, Replica: pl.reps[0].Name, Age: st.now.Sub(req.at),
 		Estimate: duration(pl.first), Attempt: req.attempt, Helpers: helpers,
 		Tokens: req.Prompt,
@@ -159,7 +159,7 @@
 	req.begun = true
 	st.beginJob(jobKey{id: req.job}, req.reps, true)
 	st.announceBegun(req)
-	st.emit(Line{Message: "answer began", Request: req.Name, Replica: req.reps[0].Name, Age: st.now.Sub(req.at), Attempt: req.attempt})
+	st.emit(LogLine{Message: "answer began", Request: req.Name, Replica: req.reps[0].Name, Age: st.now.Sub(req.at), Attempt: req.attempt})
 	st.dispatch()
 }
 
@@ -203,18 +203,18 @@
 // refuse ends a request that got no successful answer. A replica's error answer goes to the caller in place of the refusal.
 func (st *State) refuse(req *request, reason Reason, after time.Duration) {
 	if req.failureHeld {
-		st.finish(req, Finish{ID: req.ID, Deliver: true}, "failure delivered")
+		st.finish(req, Finish{ID: req.ID, DeliverFailure: true}, "failure delivered")
 		return
 	}
 	refusal := &Refusal{Reason: reason, NotRun: req.runs == 0, RetryAfter: after}
-	st.emit(Line{Message: "request refused", Request: req.Name, Reason: reason, Age: st.now.Sub(req.at), Attempt: req.attempt, Tokens: req.Prompt, End: st.endOf(req)})
+	st.emit(LogLine{Message: "request refused", Request: req.Name, Reason: reason, Age: st.now.Sub(req.at), Attempt: req.attempt, Tokens: req.Prompt, End: st.endOf(req)})
 	st.finish(req, Finish{ID: req.ID, Refusal: refusal}, "")
 }
 
 // endOf returns the outcome of the request for the log. A late request is reported with its original goal and value.
-func (st *State) endOf(req *request) *End {
-	end := &End{
-		Route: req.Route.Name, Value: req.value, Back: req.triedBefore,
+func (st *State) endOf(req *request) *Outcome {
+	end := &Outcome{
+		Route: req.Route.Name, Value: req.value, TriedBefore: req.triedBefore,
 		Goal: req.goal.Sub(req.at), Gap: req.gap, Pause: req.pause,
 	}
 	if req.late {
@@ -232,7 +232,7 @@
 // finish ends a request. Every admitted request passes through it exactly once.
 func (st *State) finish(req *request, fin Finish, message string) {
 	if message != "" {
-		st.emit(Line{Message: message, Request: req.Name, Age: st.now.Sub(req.at), Attempt: req.attempt, Tokens: req.Prompt, End: st.endOf(req)})
+		st.emit(LogLine{Message: message, Request: req.Name, Age: st.now.Sub(req.at), Attempt: req.attempt, Tokens: req.Prompt, End: st.endOf(req)})
 	}
 	delete(st.requests, req.ID)
 	st.waiting = slices.DeleteFunc(st.waiting, func(other *request) bool { return other == req })
@@ -242,7 +242,7 @@
 // abortAtStop ends the running attempts shortly before the process is killed. Their callers then get an error answer right
 // away and need not detect a connection that is cut.
 func (st *State) abortAtStop() {
-	if st.drain == nil || st.now.Before(st.drain.Stop) {
+	if st.drain == nil || st.now.Before(st.drain.AbortAt) {
 		return
 	}
 	for _, req := range st.requests {
--- a/internal/steer/serve_test.go
+++ b/internal/steer/serve_test.go
@@ -18,23 +18,23 @@
 	for id := range figures.Slots {
 		nt.Jobs = append(nt.Jobs, steer.Job{ID: steer.JobID(id), Replicas: []string{"lyric-0"}, Prompt: 1000, Goal: 300, Gap: 250, Begun: true})
 	}
-	in.reduce(steer.Heard{Note: nt})
+	in.reduce(steer.NoteReceived{Note: nt})
 	wake := find[steer.Wake](t, in.arrive(&short, 2000))
 	assert.Assert(t, wake.After <= 10*time.Millisecond)
-	none[steer.Wake](t, in.reduce(steer.Heard{Note: steer.Note{From: "two", Run: 1, Ended: []steer.JobID{0}}}))
-	effects := in.pass(wake.After)
+	none[steer.Wake](t, in.reduce(steer.NoteReceived{Note: steer.Note{From: "two", Run: 1, Ended: []steer.JobID{0}}}))
+	effects := in.advance(wake.After)
 	sent := find[steer.Send](t, effects)
 	assert.Equal(t, sent.ID, steer.RequestID(1))
 	none[steer.Wake](t, effects)
-	none[steer.Wake](t, in.pass(time.Second))
+	none[steer.Wake](t, in.advance(time.Second))
 }
 
 // arriveLongPrompt submits a long prompt whose caller announces its timeout.
 func (in *instance) arriveLongPrompt() []steer.Effect {
 	in.next++
 	return in.reduce(steer.Arrived{
-		ID: in.next, Route: &long, Name: "request", Prompt: 100_000, Answer: 1000, Digest: 1, Given: 15 * time.Second,
-		Deadline: in.now.Add(15 * time.Second), Patience: in.now.Add(12 * time.Second),
+		ID: in.next, Route: &long, Name: "request", Prompt: 100_000, Answer: 1000, Digest: 1, StatedTimeout: 15 * time.Second,
+		Deadline: in.now.Add(15 * time.Second), LeavesAt: in.now.Add(12 * time.Second),
 	})
 }
 
@@ -44,10 +44,10 @@
 	// caller can still try elsewhere.
 	in := newInstance(t, "one", 1)
 	sent := find[steer.Send](t, in.arriveLongPrompt())
-	in.pass(3 * time.Second)
+	in.advance(3 * time.Second)
 	none[steer.Finish](t, in.end(sent, steer.ResultSilent))
-	none[steer.Finish](t, in.pass(2*time.Second))
-	fin := find[steer.Finish](t, in.pass(1100*time.Millisecond))
+	none[steer.Finish](t, in.advance(2*time.Second))
+	fin := find[steer.Finish](t, in.advance(1100*time.Millisecond))
 	assert.Assert(t, fin.Refusal != nil && !fin.Refusal.NotRun)
 	assert.Equal(t, fin.Refusal.Reason, steer.ReasonDeadline)
 }
@@ -58,9 +58,9 @@
 	// the value of the answer, and the request would never be retried.
 	in := newInstance(t, "one", 1)
 	sent := find[steer.Send](t, in.arriveLongPrompt())
-	in.pass(6 * time.Second)
+	in.advance(6 * time.Second)
 	in.reduce(steer.Listed{Replicas: replicas(2)})
-	again := in.within(100*time.Millisecond, in.end(sent, steer.ResultSilent))
+	again := in.waitForSend(100*time.Millisecond, in.end(sent, steer.ResultSilent))
 	assert.Equal(t, again.Replica.Name, "lyric-1")
 }
 
@@ -69,14 +69,14 @@
 	// requests at once and look idle and therefore best, so every request would try four of them and fail. After the first
 	// refusal the replica must be out of rotation for a while, here and at the other instances, which are told once.
 	in := newInstance(t, "one", 2)
-	first := in.within(time.Millisecond, in.arrive(&short, 2000))
+	first := in.waitForSend(time.Millisecond, in.arrive(&short, 2000))
 	effects := in.end(first, steer.ResultNotRun)
 	assert.DeepEqual(t, announcedDown(effects), []string{first.Replica.Name})
-	second := in.within(100*time.Millisecond, effects)
+	second := in.waitForSend(100*time.Millisecond, effects)
 	assert.Assert(t, second.Replica.Name != first.Replica.Name)
 	in.end(second, steer.ResultDone)
 	for range 5 {
-		sent := in.within(time.Millisecond, in.arrive(&short, 2000))
+		sent := in.waitForSend(time.Millisecond, in.arrive(&short, 2000))
 		assert.Equal(t, sent.Replica.Name, second.Replica.Name)
 		in.end(sent, steer.ResultDone)
 	}
@@ -90,10 +90,10 @@
 	for id := range figures.Slots - 1 {
 		nt.Jobs = append(nt.Jobs, steer.Job{ID: steer.JobID(id), Replicas: []string{"lyric-0"}, Prompt: 1000, Goal: 300, Gap: 250, Begun: true})
 	}
-	in.reduce(steer.Heard{Note: nt})
-	sent := in.within(20*time.Millisecond, in.arrive(&short, 2000))
+	in.reduce(steer.NoteReceived{Note: nt})
+	sent := in.waitForSend(20*time.Millisecond, in.arrive(&short, 2000))
 	nt.Jobs = []steer.Job{{ID: 99, Replicas: []string{"lyric-0"}, Prompt: 1000, Goal: 300, Gap: 250, Begun: true}}
-	in.reduce(steer.Heard{Note: nt})
+	in.reduce(steer.NoteReceived{Note: nt})
 	assert.Equal(t, len(announcedDown(in.end(sent, steer.ResultNotRun))), 0)
 }
 
@@ -101,7 +101,7 @@
 func announcedDown(effects []steer.Effect) []string {
 	var names []string
 	for _, eff := range effects {
-		if tell, ok := eff.(steer.Tell); ok {
+		if tell, ok := eff.(steer.SendNote); ok {
 			names = append(names, tell.Note.Down...)
 		}
 	}
--- a/internal/steer/state.go
+++ b/internal/steer/state.go
@@ -211,17 +211,17 @@
 		st.attemptEnded(ev)
 	case Listed:
 		st.listed(ev)
-	case Relisted:
+	case ListChanged:
 		st.relisted(ev)
 	case Configured:
 		st.configured(ev)
 	case Peered:
 		st.updatePeers(ev)
-	case Heard:
+	case NoteReceived:
 		st.receiveNote(ev.Note)
-	case Surveyed:
+	case LoadReported:
 		st.loadReported(ev)
-	case Answered:
+	case ResponseReceived:
 		st.answered(ev)
 	case Draining:
 		st.drain = &ev
@@ -270,8 +270,8 @@
 	return false
 }
 
-// Lists reports whether the named replica is registered.
-func (st *State) Lists(name string) bool {
+// IsRegistered reports whether the named replica is registered.
+func (st *State) IsRegistered(name string) bool {
 	rep, ok := st.replicas[name]
 	return ok && !rep.gone
 }
--- a/internal/steer/steer_test.go
+++ b/internal/steer/steer_test.go
@@ -74,15 +74,15 @@
 func (in *instance) reduce(ev steer.Event) []steer.Effect {
 	var effects []steer.Effect
 	for _, eff := range in.st.Reduce(in.now, ev) {
-		if _, ok := eff.(steer.Line); !ok {
+		if _, ok := eff.(steer.LogLine); !ok {
 			effects = append(effects, eff)
 		}
 	}
 	return effects
 }
 
-// pass advances the clock and returns the effects of the tick.
-func (in *instance) pass(period time.Duration) []steer.Effect {
+// advance advances the clock and returns the effects of the tick.
+func (in *instance) advance(period time.Duration) []steer.Effect {
 	in.now = in.now.Add(period)
 	return in.reduce(steer.Ticked{})
 }
@@ -92,7 +92,7 @@
 	in.next++
 	ev := steer.Arrived{
 		ID: in.next, Route: route, Name: "request", Organisation: "parish", Prompt: prompt, Digest: steer.Digest(in.next),
-		Deadline: in.now.Add(route.Timeout.Std()), Patience: in.now.Add(max(2*time.Second, 4*route.Goal.Std())),
+		Deadline: in.now.Add(route.Timeout.Std()), LeavesAt: in.now.Add(max(2*time.Second, 4*route.Goal.Std())),
 	}
 	if prompt > 0 {
 		ev.Answer = 1000
@@ -100,18 +100,18 @@
 	return in.reduce(ev)
 }
 
-// summarized returns how many jobs the instance lists in its summary to the others.
-func (in *instance) summarized() int {
+// summarizedJobs returns how many jobs the instance lists in its summary to the others.
+func (in *instance) summarizedJobs() int {
 	jobs := 0
 	for _, eff := range in.reduce(steer.Summarized{}) {
-		nt := eff.(steer.Tell).Note
-		jobs += len(nt.Jobs) + len(nt.Kept)
+		nt := eff.(steer.SendNote).Note
+		jobs += len(nt.Jobs) + len(nt.OpenJobs)
 	}
 	return jobs
 }
 
-// within returns the first Send among the effects or within the period after them.
-func (in *instance) within(period time.Duration, effects []steer.Effect) steer.Send {
+// waitForSend returns the first Send among the effects or waitForSend the period after them.
+func (in *instance) waitForSend(period time.Duration, effects []steer.Effect) steer.Send {
 	in.t.Helper()
 	for until := in.now.Add(period); ; {
 		for _, eff := range effects {
@@ -120,7 +120,7 @@
 			}
 		}
 		assert.Assert(in.t, in.now.Before(until), "nothing was sent")
-		effects = in.pass(10 * time.Millisecond)
+		effects = in.advance(10 * time.Millisecond)
 	}
 }
 
@@ -157,7 +157,7 @@
 	fin := find[steer.Finish](t, in.end(sent, steer.ResultDone))
 	assert.Assert(t, fin.Refusal == nil)
 	assert.Equal(t, in.st.Open(), 0)
-	assert.Equal(t, in.summarized(), 0)
+	assert.Equal(t, in.summarizedJobs(), 0)
 }
 
 func TestAttemptResultDecidesRetry(t *testing.T) {
@@ -186,7 +186,7 @@
 			tc.end.ID, tc.end.Attempt = first.ID, first.Attempt
 			effects := in.reduce(tc.end)
 			if tc.again {
-				effects = append(effects, in.pass(50*time.Millisecond)...)
+				effects = append(effects, in.advance(50*time.Millisecond)...)
 				second := find[steer.Send](t, effects)
 				assert.Assert(t, second.Replica.Name != first.Replica.Name)
 				none[steer.Finish](t, effects)
@@ -225,7 +225,7 @@
 	second := find[steer.Send](t, in.reduce(steer.AttemptEnded{ID: 1, Attempt: 1, Result: steer.ResultAnswered, Status: 500}))
 	assert.Assert(t, first.Replica.Name != second.Replica.Name)
 	fin := find[steer.Finish](t, in.reduce(steer.AttemptEnded{ID: 1, Attempt: 2, Result: steer.ResultAnswered, Status: 500}))
-	assert.Assert(t, fin.Deliver && fin.Refusal == nil)
+	assert.Assert(t, fin.DeliverFailure && fin.Refusal == nil)
 }
 
 func TestRepeatsStayWithinBudget(t *testing.T) {
@@ -242,7 +242,7 @@
 				in.end(again, steer.ResultDone)
 			}
 		}
-		in.pass(20 * time.Millisecond)
+		in.advance(20 * time.Millisecond)
 	}
 	assert.Assert(t, repeats > 20 && repeats <= 200/5+20/2, repeats)
 }
@@ -277,8 +277,8 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			in := newInstance(t, "one", 1)
-			in.reduce(steer.Listed{Replicas: replicas(0), Away: tc.away})
-			in.pass(tc.after)
+			in.reduce(steer.Listed{Replicas: replicas(0), AfterOutage: tc.away})
+			in.advance(tc.after)
 			if tc.served {
 				find[steer.Send](t, in.arrive(&short, 5000))
 			} else {
@@ -299,8 +299,8 @@
 			switch eff := eff.(type) {
 			case steer.Send:
 				sent = eff
-			case steer.Tell:
-				two.reduce(steer.Heard{Note: eff.Note})
+			case steer.SendNote:
+				two.reduce(steer.NoteReceived{Note: eff.Note})
 			}
 		}
 	}
@@ -317,9 +317,9 @@
 	// process ends: otherwise its connection is cut without an answer, and the caller does not know to try another instance.
 	in := newInstance(t, "one", 0)
 	none[steer.Send](t, in.arrive(&long, 100_000))
-	in.reduce(steer.Draining{Hold: in.now.Add(2 * time.Second), Stop: in.now.Add(7 * time.Second)})
-	none[steer.Finish](t, in.pass(time.Second))
-	fin := find[steer.Finish](t, in.pass(1100*time.Millisecond))
+	in.reduce(steer.Draining{RefuseWaitingAt: in.now.Add(2 * time.Second), AbortAt: in.now.Add(7 * time.Second)})
+	none[steer.Finish](t, in.advance(time.Second))
+	fin := find[steer.Finish](t, in.advance(1100*time.Millisecond))
 	assert.Equal(t, fin.Refusal.Reason, steer.ReasonDraining)
 	assert.Assert(t, fin.Refusal.NotRun && fin.Refusal.RetryAfter > 0)
 }
@@ -329,9 +329,9 @@
 	// that the request did not run, and not a connection that is cut.
 	in := newInstance(t, "one", 1)
 	sent := find[steer.Send](t, in.arrive(&long, 100_000))
-	in.reduce(steer.Draining{Hold: in.now, Stop: in.now.Add(time.Second)})
-	none[steer.Abort](t, in.pass(900*time.Millisecond))
-	find[steer.Abort](t, in.pass(200*time.Millisecond))
+	in.reduce(steer.Draining{RefuseWaitingAt: in.now, AbortAt: in.now.Add(time.Second)})
+	none[steer.Abort](t, in.advance(900*time.Millisecond))
+	find[steer.Abort](t, in.advance(200*time.Millisecond))
 	fin := find[steer.Finish](t, in.end(sent, steer.ResultCancelled))
 	assert.Assert(t, !fin.Refusal.NotRun)
 }
@@ -342,19 +342,19 @@
 	// engine until the answers for the dead have ended. Instances that know one earlier by name or longer-running must not
 	// query.
 	one, two := newInstance(t, "one", 2), newInstance(t, "two", 2)
-	one.pass(time.Millisecond)
-	query := find[steer.Survey](t, one.pass(200*time.Millisecond))
+	one.advance(time.Millisecond)
+	query := find[steer.QueryLoad](t, one.advance(200*time.Millisecond))
 	assert.Equal(t, len(query.Replicas), 2)
-	none[steer.Survey](t, one.pass(time.Second))
-	report := find[steer.Tell](t, one.reduce(steer.Surveyed{Replica: "lyric-0", Running: 16, Used: 90_000}))
-	two.reduce(steer.Heard{Note: report.Note})
-	two.reduce(steer.Heard{Note: steer.Note{From: "one", Run: 1, Up: 100, Whole: true}})
-	two.pass(time.Millisecond)
-	none[steer.Survey](t, two.pass(200*time.Millisecond))
+	none[steer.QueryLoad](t, one.advance(time.Second))
+	report := find[steer.SendNote](t, one.reduce(steer.LoadReported{Replica: "lyric-0", Running: 16, Used: 90_000}))
+	two.reduce(steer.NoteReceived{Note: report.Note})
+	two.reduce(steer.NoteReceived{Note: steer.Note{From: "one", Run: 1, UptimeMs: 100, Full: true}})
+	two.advance(time.Millisecond)
+	none[steer.QueryLoad](t, two.advance(200*time.Millisecond))
 	three := newInstance(t, "a-first-name", 2)
-	three.reduce(steer.Heard{Note: steer.Note{From: "one", Run: 1, Up: 60_000, Whole: true}})
-	three.pass(time.Millisecond)
-	none[steer.Survey](t, three.pass(200*time.Millisecond))
+	three.reduce(steer.NoteReceived{Note: steer.Note{From: "one", Run: 1, UptimeMs: 60_000, Full: true}})
+	three.advance(time.Millisecond)
+	none[steer.QueryLoad](t, three.advance(200*time.Millisecond))
 	for _, in := range []*instance{one, two} {
 		for range 4 {
 			sent := find[steer.Send](t, in.arrive(&short, 5000))
@@ -368,7 +368,7 @@
 	// would count as silent, and every instance would take it out of rotation for a while.
 	in := newInstance(t, "one", 1)
 	sent := find[steer.Send](t, in.arrive(&update, 0))
-	assert.Assert(t, in.now.Add(sent.FirstBy).After(sent.Deadline))
+	assert.Assert(t, in.now.Add(sent.FirstTimeout).After(sent.Deadline))
 }
 
 func TestCallerDisconnectReleasesRequest(t *testing.T) {
--- a/internal/steer/subset_test.go
+++ b/internal/steer/subset_test.go
@@ -139,20 +139,20 @@
 	sender, receiver := fleet{2, 20, 1}.instance(0), fleet{2, 20, 1}.instance(1)
 	route := decl.Route{Name: "short", Shares: []decl.Share{{Service: "lyric", Weight: 1}}, Stream: true, Timeout: decl.Duration(10 * time.Second), Goal: decl.Duration(time.Second), Attempts: 1}
 	for id := range 130 {
-		sender.Reduce(fleetStart, Arrived{ID: RequestID(id), Route: &route, Prompt: 100, Answer: 10, Deadline: fleetStart.Add(10 * time.Second), Patience: fleetStart.Add(10 * time.Second)})
+		sender.Reduce(fleetStart, Arrived{ID: RequestID(id), Route: &route, Prompt: 100, Answer: 10, Deadline: fleetStart.Add(10 * time.Second), LeavesAt: fleetStart.Add(10 * time.Second)})
 	}
 	for range 2 {
 		for _, eff := range slices.Clone(sender.Reduce(fleetStart, Summarized{})) {
-			if eff, ok := eff.(Tell); ok {
+			if eff, ok := eff.(SendNote); ok {
 				assert.Assert(t, len(eff.Note.Jobs) <= maxSummaryJobs)
-				receiver.Reduce(fleetStart, Heard{Note: eff.Note})
+				receiver.Reduce(fleetStart, NoteReceived{Note: eff.Note})
 			}
 		}
 		assert.Equal(t, len(receiver.peers["instance-0"].jobs), 130)
 	}
 	sender.callerGone(CallerGone{ID: 5})
 	sender.Reduce(fleetStart, AttemptEnded{ID: 5, Attempt: 1, Result: ResultCancelled})
-	receiver.Reduce(fleetStart, Heard{Note: sender.Reduce(fleetStart, Summarized{})[0].(Tell).Note})
+	receiver.Reduce(fleetStart, NoteReceived{Note: sender.Reduce(fleetStart, Summarized{})[0].(SendNote).Note})
 	assert.Equal(t, len(receiver.peers["instance-0"].jobs), 129)
 }
 
@@ -167,7 +167,7 @@
 		t.Run(name, func(t *testing.T) {
 			st := fleet{tc.instances, 20, 5}.instance(0)
 			route := decl.Route{Name: "read", Shares: []decl.Share{{Service: "board", Weight: 1}}, Repeats: decl.RepeatsAny, Timeout: decl.Duration(time.Second), Goal: decl.Duration(time.Second), Attempts: 2}
-			st.Reduce(fleetStart, Arrived{ID: 1, Route: &route, Deadline: fleetStart.Add(time.Second), Patience: fleetStart.Add(time.Second)})
+			st.Reduce(fleetStart, Arrived{ID: 1, Route: &route, Deadline: fleetStart.Add(time.Second), LeavesAt: fleetStart.Add(time.Second)})
 			st.Reduce(fleetStart, AttemptEnded{ID: 1, Attempt: 1, Result: ResultNotRun})
 			assert.Equal(t, !st.replicas["board-0"].usable(fleetStart), tc.avoided)
 		})
