--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		return att.failureResult(ctx)
 	}
-	reply := att.in.protocol.Reply(resp)
+	reply := att.in.protocol.ParseResponse(resp)
 	att.in.recordRateLimit(att.eff.Replica, sent, reply)
 	defer func() { _ = resp.Body.Close() }()
 	return att.receive(ctx, resp, reply)
--- a/internal/relay/loadpoll.go
+++ b/internal/relay/loadpoll.go
@@ -33,7 +33,7 @@
 func (in *Instance) fetchLoad(replica steer.Replica) (running int, used int64, err error) {
 	limited, cancel := context.WithTimeout(context.Background(), loadTimeout)
 	defer cancel()
-	req, err := in.protocol.Survey(limited, replica)
+	req, err := in.protocol.NewLoadRequest(limited, replica)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -43,10 +43,10 @@
 		return 0, 0, OrderFailed.Wrap(err, "relay: %s did not answer the load poll: its load counts as zero", replica.Name)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	in.recordRateLimit(replica, sent, in.protocol.Reply(resp))
+	in.recordRateLimit(replica, sent, in.protocol.ParseResponse(resp))
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxLoadBytes))
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return 0, 0, OrderFailed.New("relay: %s answered the load poll with status %d: its load counts as zero", replica.Name, resp.StatusCode)
 	}
-	return in.protocol.Load(body)
+	return in.protocol.ParseLoad(body)
 }
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -85,15 +85,15 @@
 	// SetHeaders sets the headers that a replica is sent in addition to the caller's, and removes those that it must not
 	// see.
 	SetHeaders(header http.Header, dr ForwardInfo)
-	// Reply parses the headers of a replica's response.
-	Reply(resp *http.Response) ResponseInfo
+	// ParseResponse parses the headers of a replica's response.
+	ParseResponse(resp *http.Response) ResponseInfo
 	// Reserve returns the request that reserves memory at a replica or renews a reservation.
 	Reserve(ctx context.Context, replica steer.Replica, tk Reservation) (*http.Request, error)
-	// Survey returns the request for a replica's load report.
-	Survey(ctx context.Context, replica steer.Replica) (*http.Request, error)
-	// Load parses a load report: the number of requests that run or wait at the replica, and the memory in tokens that
+	// NewLoadRequest returns the request for a replica's load report.
+	NewLoadRequest(ctx context.Context, replica steer.Replica) (*http.Request, error)
+	// ParseLoad parses a load report: the number of requests that run or wait at the replica, and the memory in tokens that
 	// they use.
-	Load(body []byte) (running int, used int64, err error)
+	ParseLoad(body []byte) (running int, used int64, err error)
 	// Release returns the request that releases a reservation.
 	Release(ctx context.Context, replica steer.Replica, id string) (*http.Request, error)
 }
