--- a/internal/core/arrive.go
+++ b/internal/core/arrive.go
@@ -9,8 +9,8 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-func (st *State) arrived(ev event.Arrived) {
-	if refusal := st.checkArrived(ev); refusal != nil {
+func (st *State) handleArrived(ev event.Arrived) {
+	if refusal := st.tryAdmit(ev); refusal != nil {
 		st.countReason("Requests.Refused.", refusal.Reason)
 		st.emit(effect.Finish{ID: ev.ID, Refusal: refusal})
 		return
@@ -35,38 +35,39 @@
 	st.enqueue(req)
 }
 
-// checkArrived takes the request into its organisation's limits as its last step, so that a refusal holds nothing.
-func (st *State) checkArrived(ev event.Arrived) *effect.Refusal {
+// tryAdmit checks whether the request can be served and returns a refusal if not. It counts the request against its
+// organisation's limits as the last step, so that a refused request holds none of them.
+func (st *State) tryAdmit(ev event.Arrived) *effect.Refusal {
 	if st.Draining {
-		return notRun(effect.ReasonDraining, time.Second, "send the request again; another instance will take it")
+		return notRunRefusal(effect.ReasonDraining, time.Second, "send the request again; another instance will take it")
 	}
 	if !st.now.Before(ev.Deadline) {
-		return notRun(effect.ReasonDeadline, 0, "give the request a deadline in the future")
+		return notRunRefusal(effect.ReasonDeadline, 0, "give the request a deadline in the future")
 	}
 	if _, ok := st.table.services[ev.Service]; !ok {
-		return notRun(effect.ReasonUnknownModel, 0, "name a model that GET /v1/models lists")
+		return notRunRefusal(effect.ReasonUnknownModel, 0, "name a model that GET /v1/models lists")
 	}
 	class, ok := st.table.classOf(ev.PromptTokens)
 	if !ok {
-		return notRun(effect.ReasonTooLong, 0, "shorten the prompt to what the longest length class allows")
+		return notRunRefusal(effect.ReasonTooLong, 0, "shorten the prompt to what the longest length class allows")
 	}
-	if st.tooLarge(ev, class) {
-		return notRun(effect.ReasonTooLong, 0, "shorten the prompt or the answer; together they are larger than one engine's memory")
+	if st.exceedsEngineMemory(ev, class) {
+		return notRunRefusal(effect.ReasonTooLong, 0, "shorten the prompt or the answer; together they are larger than one engine's memory")
 	}
 	if refusal := st.checkQuarantine(ev.Digest); refusal != nil {
 		return refusal
 	}
 	if !st.Route.Serves(ev.Service) {
-		return notRun(effect.ReasonNoUpstream, time.Second, "try again; no replica of the service is live")
+		return notRunRefusal(effect.ReasonNoUpstream, time.Second, "try again; no replica of the service is live")
 	}
 	org := st.Config.Organisations[ev.Organisation]
-	if refusal := st.checkTime(ev, class, org); refusal != nil {
+	if refusal := st.checkDeadline(ev, class, org); refusal != nil {
 		return refusal
 	}
 	return st.Admit.Admit(st.now, ev.Organisation, org, ev.PromptTokens+ev.MaxTokens)
 }
 
-func notRun(reason effect.Reason, after time.Duration, remedy string) *effect.Refusal {
+func notRunRefusal(reason effect.Reason, after time.Duration, remedy string) *effect.Refusal {
 	return &effect.Refusal{Reason: reason, Ran: effect.NotRun, RetryAfter: after, Remedy: remedy}
 }
 
@@ -75,11 +76,11 @@
 		st.askPermit(req)
 		return
 	}
-	st.queue(req)
+	st.queueForReplica(req)
 }
 
-// queue lets the request wait for a replica with room.
-func (st *State) queue(req *Request) {
+// queueForReplica queues the request until a replica has room for it.
+func (st *State) queueForReplica(req *Request) {
 	req.Phase = PhaseQueued
 	org := st.Config.Organisations[req.Organisation]
 	st.Admit.Push(admit.Item{
@@ -93,8 +94,8 @@
 		Deadline:     req.Deadline,
 		NotBefore:    req.NotBefore,
 	}, org.ShareWeight(), st.discipline(req))
-	st.watchStart(req)
-	st.pump(req.Service)
+	st.scheduleLatestStart(req)
+	st.dispatch(req.Service)
 }
 
 func (st *State) discipline(req *Request) admit.Discipline {
@@ -105,18 +106,18 @@
 }
 
 func (st *State) needsPermit(req *Request) bool {
-	return st.permitted(req.Class, req.Service)
+	return st.usesPermits(req.Class, req.Service)
 }
 
-// permitted tells whether prompts of the class go by permit.
-func (st *State) permitted(class decl.LengthClass, service string) bool {
+// usesPermits reports whether prompts of the class need a permit.
+func (st *State) usesPermits(class decl.LengthClass, service string) bool {
 	svc, ok := st.table.services[service]
 	return ok && class.Long && st.Options.Permits && !st.baseline() && svc.Kind == decl.KindModel
 }
 
-// tooLarge tells that no single engine can hold the request and that it would go to one. Engines refuse it too, but
-// only after all of it was sent to them.
-func (st *State) tooLarge(ev event.Arrived, class lengthClass) bool {
+// exceedsEngineMemory reports whether the request would go to a single engine and is larger than an engine's memory.
+// Engines refuse such a request too, but only after all of it was sent to them.
+func (st *State) exceedsEngineMemory(ev event.Arrived, class lengthClass) bool {
 	memory := st.table.services[ev.Service].MemoryTokens
-	return memory > 0 && ev.PromptTokens+ev.MaxTokens > memory && !st.permitted(class.LengthClass, ev.Service)
+	return memory > 0 && ev.PromptTokens+ev.MaxTokens > memory && !st.usesPermits(class.LengthClass, ev.Service)
 }
--- a/internal/core/claim.go
+++ b/internal/core/claim.go
@@ -7,51 +7,53 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// needsClaim tells whether the request's key has to be recorded before it is sent.
+// needsClaim reports whether the request's idempotency key has to be recorded before the request is sent.
 func (st *State) needsClaim(req *Request) bool {
 	return !req.Idempotent && req.Key != "" && !st.service(req).HonoursKeys
 }
 
-// repeatable tells whether a request that may have run can be sent again.
+// repeatable reports whether the request can be sent again after it may have run.
 func (st *State) repeatable(req *Request) bool {
 	return req.Idempotent || (req.Key != "" && st.service(req).HonoursKeys)
 }
 
-func (st *State) claimSettled(ev event.ClaimSettled) {
+func (st *State) handleClaimSettled(ev event.ClaimSettled) {
 	req, ok := st.Requests[ev.ID]
 	if !ok {
 		return
 	}
 	if req.Phase == PhaseAbandoned {
-		st.settleAbandoned(req, ev)
+		st.releaseAbandonedClaim(req, ev)
 		return
 	}
-	// From here on nothing of the claim is under way that a later event would have to give back.
+	// The claim is settled. A request that ended in PhaseClaiming would become PhaseAbandoned and wait for ever for another
+	// event to release the claim.
 	req.Phase = PhaseQueued
 	switch ev.Result {
 	case event.ClaimWon:
 		req.Claimed = true
 		st.enqueue(req)
 	case event.ClaimRepeated:
-		st.repeatClaimed(req, ev.Outcome)
+		st.answerRepeated(req, ev.Outcome)
 	case event.ClaimConflict:
-		st.finish(req, notRun(effect.ReasonKeyReused, 0, "use a new key for a request with another content"))
+		st.finish(req, notRunRefusal(effect.ReasonKeyReused, 0, "use a new key for a request with another content"))
 	case event.ClaimUnavailable:
-		st.finish(req, notRun(effect.ReasonClaim, time.Second, "send it again with the same key"))
+		st.finish(req, notRunRefusal(effect.ReasonClaim, time.Second, "send it again with the same key"))
 	}
 }
 
-// settleAbandoned gives back a claim that was recorded after its request had ended, so that a resend may run.
-func (st *State) settleAbandoned(req *Request, ev event.ClaimSettled) {
+// releaseAbandonedClaim releases a claim that was recorded after its request had ended, so that a resend may run.
+func (st *State) releaseAbandonedClaim(req *Request, ev event.ClaimSettled) {
 	delete(st.Requests, req.ID)
 	if ev.Result == event.ClaimWon {
-		st.record(req, true, false)
+		st.recordOutcome(req, true, false)
 	}
 }
 
-func (st *State) repeatClaimed(req *Request, out event.Outcome) {
+// answerRepeated ends a request whose key was claimed before, with the recorded outcome if there is one.
+func (st *State) answerRepeated(req *Request, out event.Outcome) {
 	if out.Known && out.Truncated {
-		// The start of an answer must not pass for the whole of it.
+		// The start of an answer must not be returned as the complete one.
 		st.finish(req, &effect.Refusal{
 			Reason: effect.ReasonAnswerGone,
 			Ran:    effect.HasRun,
@@ -80,7 +82,7 @@
 	})
 }
 
-func (st *State) record(req *Request, release, unknown bool) {
+func (st *State) recordOutcome(req *Request, release, unknown bool) {
 	st.emit(effect.RecordOutcome{
 		ID:           req.ID,
 		Organisation: req.Organisation,
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -38,7 +38,7 @@
 	return in
 }
 
-// reduce returns the effects of the event without the notes.
+// reduce applies the event and returns its effects, except for notes.
 func (in *instance) reduce(ev event.Event) []effect.Effect {
 	var effects []effect.Effect
 	for _, eff := range in.st.Reduce(in.now, ev) {
@@ -63,7 +63,7 @@
 	return eff
 }
 
-func TestAnsweredRequestHoldsNothing(t *testing.T) {
+func TestFinishedRequestIsReleased(t *testing.T) {
 	in := newInstance(t)
 	sent := only[effect.Send](t, in.arrive(event.Arrived{Service: "lyric", PromptTokens: 1000, Idempotent: true}))
 	end := in.reduce(event.AttemptEnded{ID: 1, Attempt: 1, Upstream: sent.Upstreams[0].Name, Result: event.ResultDone})
@@ -72,10 +72,9 @@
 	assert.Equal(t, in.st.Route.Replicas[sent.Upstreams[0].Name].Running, int64(0))
 }
 
-func TestBrokenStreamResumesElsewhere(t *testing.T) {
-	// The caller has three tokens when its engine dies.
-	// The stream ends without its marker, and the rest comes from the other engine from the fourth token on, so the
-	// caller gets one whole answer.
+func TestBrokenStreamResumesOnAnotherUpstream(t *testing.T) {
+	// An engine crashes after the caller has received three tokens, so that the stream ends without its end marker. The
+	// request must be resumed on the other engine from the fourth token on, or the caller's answer is incomplete.
 	in := newInstance(t)
 	sent := only[effect.Send](t, in.arrive(event.Arrived{Service: "lyric", PromptTokens: 1000, Idempotent: true}))
 	var resumed effect.Send
@@ -90,15 +89,15 @@
 }
 
 func TestNonIdempotentNeverSentTwice(t *testing.T) {
-	// A sacristan's board update has no key and its service dies with the request.
-	// Whether it ran cannot be known, so it is not sent again and the caller is told so, never "not run".
+	// The upstream fails while it handles a request that is not idempotent and has no key. The request may have run, so it
+	// must not be sent again, and the refusal must report "unknown" and not "not run".
 	cases := map[string]struct {
 		result event.Result
 		ran    effect.Ran
 	}{
-		"died without an answer": {event.ResultFailed, effect.Unknown},
-		"silent":                 {event.ResultSilent, effect.Unknown},
-		"deadline":               {event.ResultExpired, effect.Unknown},
+		"failed before an answer": {event.ResultFailed, effect.Unknown},
+		"silent":                  {event.ResultSilent, effect.Unknown},
+		"deadline":                {event.ResultExpired, effect.Unknown},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -120,9 +119,8 @@
 }
 
 func TestDeadlineWhileClaiming(t *testing.T) {
-	// The store is down when a keyed redemption arrives, and its deadline passes.
-	// The caller hears "not run". The claim is recorded later all the same and has to be given back, or a resend
-	// would hear "unknown" for ever.
+	// The store is down and a keyed request's deadline passes while its claim is pending. The caller is refused with "not
+	// run". The claim is recorded afterwards and has to be released, or every resend would be refused with "unknown".
 	in := newInstance(t)
 	only[effect.Claim](t, in.arrive(event.Arrived{Service: "board", Key: "k"}))
 	in.now = in.now.Add(11 * time.Second)
@@ -133,21 +131,21 @@
 	assert.Equal(t, len(in.st.Requests), 0)
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	in := newInstance(t)
 	in.reduce(event.ConfigAccepted{Config: &decl.Config{Version: 3}})
 	in.reduce(event.ConfigAccepted{Config: &decl.Config{Version: 2}})
 	assert.Equal(t, in.st.Config.Version, int64(3))
 }
 
-func TestSettledClaimLeavesNothingBehind(t *testing.T) {
-	// A caller resends a redemption that ran before, and hears the recorded answer, or a refusal.
-	// The request is over with that: an entry kept for a claim still under way would stay for good.
+func TestSettledClaimRemovesRequest(t *testing.T) {
+	// A request with a key ends when its claim settles, with the recorded outcome or a refusal. Its entry must be removed:
+	// an entry kept for a claim that has already settled would never be removed.
 	cases := map[string]event.ClaimSettled{
-		"repeated with its outcome": {ID: 1, Result: event.ClaimRepeated, Outcome: event.Outcome{Known: true, Status: 200}},
-		"repeated while running":    {ID: 1, Result: event.ClaimRepeated, Outcome: event.Outcome{Running: true}},
-		"other content":             {ID: 1, Result: event.ClaimConflict},
-		"store down":                {ID: 1, Result: event.ClaimUnavailable},
+		"repeated with recorded outcome": {ID: 1, Result: event.ClaimRepeated, Outcome: event.Outcome{Known: true, Status: 200}},
+		"repeated while running":         {ID: 1, Result: event.ClaimRepeated, Outcome: event.Outcome{Running: true}},
+		"different content":              {ID: 1, Result: event.ClaimConflict},
+		"store down":                     {ID: 1, Result: event.ClaimUnavailable},
 	}
 	for name, settled := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -160,17 +158,17 @@
 }
 
 func TestPromptLargerThanAnEngineIsRefusedAtOnce(t *testing.T) {
-	// A prompt that no engine of its service can hold arrives while prompts over several engines are not served.
-	// The caller hears so at once, and no engine is sent megabytes that it can only refuse.
+	// A prompt is larger than any engine's memory, and permits for several engines are off. It must be refused on arrival;
+	// otherwise an engine is sent megabytes that it can only refuse.
 	in := newInstance(t)
 	finish := only[effect.Finish](t, in.arrive(event.Arrived{Service: "lyric", PromptTokens: 400_000, MaxTokens: 1, Idempotent: true}))
 	assert.Equal(t, finish.Refusal.Reason, effect.ReasonTooLong)
 	assert.Equal(t, finish.Refusal.Ran, effect.NotRun)
 }
 
-func TestWhatCannotEndInTimeIsRefusedAtOnce(t *testing.T) {
-	// All engines are full and a minute's work waits. Another request has half a minute.
-	// It hears at once that it was not run and when to come back, instead of waiting for its deadline.
+func TestRequestThatCannotMeetDeadlineIsRefusedOnArrival(t *testing.T) {
+	// All engines are full and the queue holds more work than can be done before the deadline of 30 s. Another request must
+	// be refused at once, with "not run" and a delay for the retry, instead of waiting for its deadline.
 	in := newInstance(t)
 	var last []effect.Effect
 	for id := event.RequestID(1); id < 1000; id++ {
--- a/internal/core/deadline.go
+++ b/internal/core/deadline.go
@@ -29,14 +29,14 @@
 	return item
 }
 
-// deadlineHeap holds deadlines in the order of time.
+// deadlineHeap holds deadlines ordered by time.
 type deadlineHeap struct{ list deadlineList }
 
 func (dh *deadlineHeap) push(at time.Time, id event.RequestID) {
 	heap.Push(&dh.list, deadline{at: at, id: id})
 }
 
-// pop takes the first deadline that is not after now.
+// pop removes the earliest deadline and returns its request, or false if that deadline is after now.
 func (dh *deadlineHeap) pop(now time.Time) (event.RequestID, bool) {
 	if len(dh.list) == 0 || dh.list[0].at.After(now) {
 		return 0, false
@@ -44,7 +44,7 @@
 	return heap.Pop(&dh.list).(deadline).id, true
 }
 
-// next returns the first deadline, or false if there is none.
+// next returns the earliest deadline, or false if there is none.
 func (dh *deadlineHeap) next() (time.Time, bool) {
 	if len(dh.list) == 0 {
 		return time.Time{}, false
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -9,28 +9,30 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// pumpAll sends what waits and has a replica by now.
-func (st *State) pumpAll() {
+// dispatchAll sends the waiting requests of all services for which a replica has room.
+func (st *State) dispatchAll() {
 	for _, service := range st.Admit.Backlogged() {
-		st.pump(service)
+		st.dispatch(service)
 	}
 }
 
-// pump sends waiting requests of the service for as long as one of its classes finds a replica with room.
-func (st *State) pump(service string) {
-	for st.sendNext(service) {
+// dispatch sends waiting requests of the service until none of its length classes finds a replica with room.
+func (st *State) dispatch(service string) {
+	for st.dispatchNext(service) {
 	}
 	st.Admit.Blocked(st.now, service)
 }
 
-func (st *State) sendNext(service string) bool {
+// dispatchNext sends, or ends for want of time, one of the requests that are next in the service's queue. It reports
+// whether it did either.
+func (st *State) dispatchNext(service string) bool {
 	for _, it := range st.Admit.Heads(st.now, service) {
 		req := st.Requests[it.ID]
-		if st.hopeless(req) {
-			st.finish(req, st.ended(req, effect.ReasonDeadline, "allow more time in the deadline header, or send it again later"))
+		if st.cannotMeetDeadline(req) {
+			st.finish(req, st.failureRefusal(req, effect.ReasonDeadline, "allow more time in the deadline header, or send it again later"))
 			return true
 		}
-		want := st.want(req)
+		want := st.pickCriteria(req)
 		want.Queued = st.now.Sub(req.At) > queuedAfter
 		rep := st.Route.Pick(st.now, &want)
 		if rep == nil {
@@ -43,20 +45,21 @@
 	return false
 }
 
-// queuedAfter is how long a request must have waited for having found no replica at its arrival.
+// queuedAfter is the waiting time after which a request counts as having found no replica with room on arrival.
 const queuedAfter = 2 * event.TickPeriod
 
-func (st *State) want(req *Request) route.Want {
-	want := st.load(req)
+// pickCriteria returns what the request needs of a replica, with the replicas to avoid.
+func (st *State) pickCriteria(req *Request) route.Want {
+	want := st.requestLoad(req)
 	want.Tried = req.Tried
 	if req.Suspect = st.isSuspect(req); req.Suspect {
-		want.Tried = append(st.suspected(req), req.Tried...)
+		want.Tried = append(st.suspectReplicas(req), req.Tried...)
 	}
 	return want
 }
 
-// load is what the request asks of a replica, without the replicas to avoid.
-func (st *State) load(req *Request) route.Want {
+// requestLoad returns what the request needs of a replica, without the replicas to avoid.
+func (st *State) requestLoad(req *Request) route.Want {
 	return route.Want{
 		ID:         req.ID,
 		Service:    req.Service,
@@ -76,8 +79,8 @@
 	req.SentAt = st.now
 	req.Upstreams = upstreams
 	req.Aborted = false
-	load := st.load(req)
-	// Several engines share the prompt in equal parts.
+	load := st.requestLoad(req)
+	// Several engines prefill equal parts of the prompt.
 	load.Prompt = (load.Prompt + int64(len(upstreams)) - 1) / int64(len(upstreams))
 	for _, up := range upstreams {
 		st.Route.Sent(st.now, up.Name, &load)
@@ -97,11 +100,12 @@
 	})
 }
 
-// prefillSlack is how many times its estimate a prefill may take before the engine counts as silent.
+// prefillSlack is the multiple of its estimated time that a prefill may take before the engine counts as silent.
 const prefillSlack = 3
 
-// firstSilence allows an engine that sends no heartbeats the time to prefill the prompt and what is queued before it. A
-// prompt of a million tokens takes far longer than the ProgressTimeout, and to call it silent would start it over.
+// firstSilence returns the timeout for the first byte of the answer, 0 for plain services. It covers the prefill of the
+// prompt and of what is queued ahead of it, since an engine may send no heartbeats meanwhile: a prompt of a million tokens
+// takes far longer than the ProgressTimeout, and a timeout would start its prefill over.
 func (st *State) firstSilence(req *Request, upstreams []event.Upstream) time.Duration {
 	svc := st.service(req)
 	if svc.Kind != decl.KindModel {
@@ -117,7 +121,7 @@
 	return svc.ProgressTimeout.Std() + time.Duration(seconds*float64(time.Second))
 }
 
-func (st *State) answering(ev event.Answering) {
+func (st *State) handleAnswering(ev event.Answering) {
 	req, ok := st.Requests[ev.ID]
 	if !ok || ev.Attempt != req.Attempt {
 		return
@@ -125,12 +129,12 @@
 	req.Answered = true
 	for _, up := range req.Upstreams {
 		st.Route.Answering(st.now, up.Name, req.ID)
-		st.showedLife(up.Name, st.now)
+		st.markAlive(up.Name, st.now)
 	}
 }
 
-// priority is what the engine is told: the class's own, not raised by age, since a long prefill that has waited would
-// otherwise hold up every short prompt of its engine. The baselines tell it nothing.
+// priority returns the priority that is sent to the engine: that of the class, not raised by age, since a long prefill that
+// has waited would otherwise delay every short prompt of its engine. It is always 0 under the baseline policies.
 func (st *State) priority(req *Request) int {
 	if st.baseline() {
 		return 0
--- a/internal/core/finish.go
+++ b/internal/core/finish.go
@@ -7,7 +7,7 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-func (st *State) callerGone(ev event.CallerGone) {
+func (st *State) handleCallerGone(ev event.CallerGone) {
 	req, ok := st.Requests[ev.ID]
 	if !ok || req.Phase == PhaseAbandoned {
 		return
@@ -28,9 +28,9 @@
 	st.emit(effect.Abort{ID: req.ID, Attempt: req.Attempt})
 }
 
-// ended is the refusal of a request that failed for the reason, with the truth about whether it ran. That it has run is
-// certain only if some of its answer came.
-func (st *State) ended(req *Request, reason effect.Reason, remedy string) *effect.Refusal {
+// failureRefusal returns the refusal of a request that failed for the given reason. It reports that the request has run
+// only if part of its answer was received; otherwise that is not certain.
+func (st *State) failureRefusal(req *Request, reason effect.Reason, remedy string) *effect.Refusal {
 	ran := effect.NotRun
 	switch {
 	case req.MayHaveRun && req.Answered:
@@ -44,8 +44,9 @@
 	return &effect.Refusal{Reason: reason, Ran: ran, RetryAfter: time.Second, Remedy: remedy}
 }
 
-// finish ends a request. Every way out passes here, so that its limits, queue place, permit and claim are given back
-// exactly once.
+// finish ends a request. The refusal is nil if the request was answered or its caller has disconnected. Every admitted
+// request ends here, save for the replay of a recorded outcome, so that its limits, place in the queue, permit and claim are
+// released exactly once.
 func (st *State) finish(req *Request, refusal *effect.Refusal) {
 	if refusal != nil {
 		st.countReason("Requests.Failed.", refusal.Reason)
@@ -61,17 +62,17 @@
 	st.Admit.Remove(req.Service, req.ID)
 	st.releasePermit(req)
 	if req.Phase == PhaseClaiming {
-		// The claim may still be recorded after this; it has to be given back then.
+		// The claim may still be recorded after this and then has to be released.
 		req.Phase = PhaseAbandoned
 		return
 	}
 	delete(st.Requests, req.ID)
 	if req.Claimed {
-		st.record(req, !req.MayHaveRun, req.MayHaveRun && !req.Answered)
+		st.recordOutcome(req, !req.MayHaveRun, req.MayHaveRun && !req.Answered)
 	}
 }
 
-// expire ends requests whose time is over.
+// expire ends the waiting requests whose deadline has passed or can no longer be met.
 func (st *State) expire() {
 	for {
 		id, ok := st.deadlines.pop(st.now)
@@ -82,13 +83,13 @@
 		if !ok || req.Phase == PhaseAbandoned {
 			continue
 		}
-		if st.now.Before(req.Deadline) && !st.hopeless(req) {
+		if st.now.Before(req.Deadline) && !st.cannotMeetDeadline(req) {
 			continue
 		}
 		if req.Phase == PhaseRunning {
-			// The attempt's own end follows and says what is known.
+			// The event.AttemptEnded of the attempt under way follows and reports what is known.
 			continue
 		}
-		st.finish(req, st.ended(req, effect.ReasonDeadline, "allow more time in the deadline header"))
+		st.finish(req, st.failureRefusal(req, effect.ReasonDeadline, "allow more time in the deadline header"))
 	}
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -8,7 +8,7 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// eventBacklog is how many events wait for the reducer before Submit blocks.
+// eventBacklog is the number of events that can wait for the reducer before Submit blocks.
 const eventBacklog = 4096
 
 // Loop runs one State on one goroutine.
@@ -18,8 +18,8 @@
 	views   chan func(*State)
 	perform func(effect.Effect)
 	ended   chan struct{}
-	// ticks is when the next tick is due.
-	ticks time.Time
+	// nextTick is the time at which the next tick is due.
+	nextTick time.Time
 }
 
 // NewLoop returns a loop that hands each effect to perform, which must not block.
@@ -33,7 +33,7 @@
 	}
 }
 
-// Submit queues an event. It returns false if the loop has ended.
+// Submit queues an event and reports whether it was queued. Events that are still queued when the loop ends are dropped.
 func (lp *Loop) Submit(ev event.Event) bool {
 	select {
 	case lp.events <- ev:
@@ -43,7 +43,8 @@
 	}
 }
 
-// View runs look on the loop's goroutine and waits for it. It returns false if the loop has ended.
+// View runs look on the loop's goroutine and waits for it to return. It reports whether look ran; once the loop has
+// ended, it does not.
 func (lp *Loop) View(look func(*State)) bool {
 	done := make(chan struct{})
 	wrapped := func(st *State) {
@@ -75,14 +76,14 @@
 			continue
 		case <-tick.C:
 			lp.reduce(event.Ticked{})
-			lp.ticks = time.Now().Add(lp.state.Rest())
-			tick.Reset(lp.state.Rest())
+			lp.nextTick = time.Now().Add(lp.state.TickDelay())
+			tick.Reset(lp.state.TickDelay())
 			continue
 		}
-		// The event may have brought work that cannot wait for the tick that is due.
-		if next := time.Now().Add(lp.state.Rest()); next.Before(lp.ticks) {
-			lp.ticks = next
-			tick.Reset(lp.state.Rest())
+		// The event may have queued work that needs a tick before the next one is due.
+		if next := time.Now().Add(lp.state.TickDelay()); next.Before(lp.nextTick) {
+			lp.nextTick = next
+			tick.Reset(lp.state.TickDelay())
 		}
 	}
 }
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -13,7 +13,7 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// newPeer is an instance with permits, a pool of three engines and one listed peer; own is its own peer address.
+// newPeer returns an instance with permits, a pool of three engines and one listed peer. own is its own peer address.
 func newPeer(own string) *core.State {
 	st := core.New(core.Options{Name: "entry-0", FailureDomain: "a", Seed: 1, Peers: true, Permits: true, Incarnation: 1})
 	st.Reduce(start, event.ConfigAccepted{Config: &decl.Config{
@@ -31,7 +31,7 @@
 	return st
 }
 
-// FuzzPeer hands the reducer whatever a peer can say, as the shell does, and lets time pass after it.
+// FuzzPeer passes arbitrary messages of peers to the reducer, as the shell does, and advances time after each.
 func FuzzPeer(f *testing.F) {
 	words := []event.Word{{Name: "entry-1", State: event.WordDead}, {Name: "entry-0", State: event.WordSuspect, Incarnation: 9}}
 	for _, msg := range []wire.Message{
@@ -49,11 +49,11 @@
 		assert.NilError(f, err)
 		f.Add(raw, raw)
 	}
-	f.Fuzz(func(_ *testing.T, one, two []byte) {
+	f.Fuzz(func(_ *testing.T, first, second []byte) {
 		st := newPeer("127.0.0.1:1")
 		st.Reduce(start, event.Arrived{ID: 1, Service: "lyric", PromptTokens: 300_000, Idempotent: true, Deadline: start.Add(time.Minute)})
 		now := start
-		for _, raw := range [][]byte{one, two} {
+		for _, raw := range [][]byte{first, second} {
 			if ev := peerEvent(raw); ev != nil {
 				st.Reduce(now, ev)
 			}
@@ -65,7 +65,7 @@
 	})
 }
 
-// peerEvent is what the shell makes of a peer's message.
+// peerEvent decodes a peer's message to an event, as the shell does, and returns nil if there is none.
 func peerEvent(raw []byte) event.Event {
 	msg, err := wire.Decode(raw)
 	if err != nil {
@@ -75,14 +75,14 @@
 	return ev
 }
 
-func TestLostCoordinatorsLeaveShortWay(t *testing.T) {
-	// No instance answers for the pool, and the instance has no peer address of its own. A long prompt that fits one
-	// engine goes without a permit after a second or two, as the engine refuses what it has no room for. One that needs
-	// several engines is refused with the truth that it has not run.
+func TestLongPromptWithoutCoordinator(t *testing.T) {
+	// No coordinator of the pool answers, and the instance has no peer address of its own. A long prompt that fits one
+	// engine is sent without a permit after a second or two, as the engine itself refuses what it has no room for. One that
+	// needs several engines is refused with "not run".
 	cases := map[string]struct {
 		tokens int64
 		sent   bool
-	}{"fits one": {300_000, true}, "needs several": {900_000, false}}
+	}{"fits one engine": {300_000, true}, "needs several engines": {900_000, false}}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			st := newPeer("")
--- a/internal/core/permit.go
+++ b/internal/core/permit.go
@@ -12,24 +12,25 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// permits is what an instance keeps for the long prompts: its own and those of the pools that it coordinates.
-type permits struct {
+// permitState is an instance's state of the permits for long prompts: those of its own requests and those of the pools that
+// it coordinates.
+type permitState struct {
 	coordinator *permit.Coordinator
 	holder      *permit.Holder
-	// pools holds the replicas of each pool in the order of their names.
+	// pools holds the replicas of each pool, sorted by name.
 	pools map[permit.Pool][]*route.Replica
-	// delayed are requests that ask again after a pause.
+	// delayed are requests that ask for a permit after a pause.
 	delayed []event.RequestID
 }
 
-func (st *State) newPermits(self event.Instance) *permits {
-	pm := &permits{
+func (st *State) newPermitState(self event.Instance) *permitState {
+	pm := &permitState{
 		coordinator: permit.New(self.Name),
 		holder:      permit.NewHolder(self, st.Options.Incarnation),
 		pools:       map[permit.Pool][]*route.Replica{},
 	}
 	pm.coordinator.Engines = st.poolEngines
-	pm.coordinator.Gone = st.holderGone
+	pm.coordinator.Gone = st.holderEnded
 	pm.coordinator.Listed = st.holderListed
 	pm.coordinator.Upstream = func(name string) (event.Upstream, bool) {
 		rep, ok := st.Route.Replicas[name]
@@ -41,7 +42,7 @@
 	return pm
 }
 
-// poolEngines returns the replicas of a pool that may take long prompts.
+// poolEngines returns the replicas of a pool that can take long prompts.
 func (st *State) poolEngines(key permit.Pool) []permit.Engine {
 	memory := st.Config.Services[key.Service].MemoryTokens
 	var engines []permit.Engine
@@ -58,8 +59,8 @@
 	return engines
 }
 
-// holderGone tells that a run of an instance is over: it was declared dead, or another run has its name.
-func (st *State) holderGone(name string, incarnation uint64) bool {
+// holderEnded reports whether a run of an instance has ended: it was declared dead, or a later run has its name.
+func (st *State) holderEnded(name string, incarnation uint64) bool {
 	if name == st.Options.Name {
 		return incarnation < st.Options.Incarnation
 	}
@@ -67,18 +68,19 @@
 	return ok && (mb.State == event.WordDead || mb.After(incarnation))
 }
 
+// holderListed reports whether the membership knows the named instance.
 func (st *State) holderListed(name string) bool {
 	_, ok := st.Member.Members[name]
 	return ok || name == st.Options.Name
 }
 
-// peerOpened takes the address at which this instance hears its peers. It coordinates and is answered by it before the
+// handlePeerOpened records this instance's own peer address, so that it can coordinate pools and be answered before the
 // platform lists it.
-func (st *State) peerOpened(ev event.PeerOpened) {
+func (st *State) handlePeerOpened(ev event.PeerOpened) {
 	if st.Member != nil && st.Member.Self.Peer == "" {
 		st.Member.Self.Peer = ev.Address
 		st.Member.Changed = true
-		st.followMembers(ev)
+		st.reduceMembership(ev)
 	}
 }
 
@@ -92,12 +94,12 @@
 		st.permits.pools[key] = append(st.permits.pools[key], rep)
 	}
 	for _, reps := range st.permits.pools {
-		slices.SortFunc(reps, func(one, two *route.Replica) int { return strings.Compare(one.Upstream.Name, two.Upstream.Name) })
+		slices.SortFunc(reps, func(a, b *route.Replica) int { return strings.Compare(a.Upstream.Name, b.Upstream.Name) })
 	}
 }
 
-// followPermits hands the permits their events.
-func (st *State) followPermits(ev event.Event) {
+// reducePermits passes an event to the coordinator and the holder of permits and applies the answers.
+func (st *State) reducePermits(ev event.Event) {
 	if st.permits == nil {
 		return
 	}
@@ -105,13 +107,13 @@
 	effects, answers := st.permits.holder.Reduce(st.now, ev)
 	st.effects = append(st.effects, effects...)
 	for _, answer := range answers {
-		st.permitAnswered(answer)
+		st.handlePermitAnswered(answer)
 	}
 }
 
-// coordinatorsChanged tells the holder who may coordinate. A suspected instance does not, so that a pool moves before
-// its coordinator is declared dead.
-func (st *State) coordinatorsChanged() {
+// updateCoordinators gives the permit holder the instances that may coordinate a pool. Suspected instances are left out, so
+// that a pool gets another coordinator before its own is declared dead.
+func (st *State) updateCoordinators() {
 	if st.permits == nil {
 		return
 	}
@@ -125,7 +127,7 @@
 	st.permits.holder.Instances = trusted
 }
 
-// RequestName is a request's name towards upstreams and coordinators, unique over all runs of all instances.
+// RequestName returns the name of a request at upstreams and coordinators, unique over all runs of all instances.
 func (opts Options) RequestName(id event.RequestID) string {
 	if opts.NameRequest == nil {
 		return opts.Name
@@ -143,18 +145,18 @@
 		return
 	}
 	if st.now.Before(req.NotBefore) {
-		// An engine that has no room now would refuse it again at once.
+		// The engine that refused the request for lack of room would refuse it again at once.
 		st.permits.delayed = append(st.permits.delayed, req.ID)
 		return
 	}
 	domains := st.poolDomains(req.Service)
 	if len(domains) == 0 {
-		st.finish(req, st.ended(req, effect.ReasonNoUpstream, "try again; no replica of the service is live"))
+		st.finish(req, st.failureRefusal(req, effect.ReasonNoUpstream, "try again; no replica of the service is live"))
 		return
 	}
-	req.asked = st.Options.RequestName(req.ID) + effect.PermitMark + strconv.Itoa(req.Attempt+1)
+	req.requestedPermit = st.Options.RequestName(req.ID) + effect.PermitMark + strconv.Itoa(req.Attempt+1)
 	ask := event.PermitAsked{
-		Request:      req.asked,
+		Request:      req.requestedPermit,
 		Service:      req.Service,
 		Organisation: req.Organisation,
 		Weight:       st.Config.Organisations[req.Organisation].ShareWeight(),
@@ -167,7 +169,8 @@
 	st.effects = append(st.effects, st.permits.holder.Ask(st.now, req.ID, ask, domains)...)
 }
 
-// askDelayed asks for the requests whose pause is over. Their state may have changed since.
+// askDelayed asks for permits for the delayed requests. A request whose pause is not over is delayed again, and one whose
+// state has changed since is skipped.
 func (st *State) askDelayed() {
 	if st.permits == nil || len(st.permits.delayed) == 0 {
 		return
@@ -175,13 +178,13 @@
 	waiting := st.permits.delayed
 	st.permits.delayed = nil
 	for _, id := range waiting {
-		if req, ok := st.Requests[id]; ok && req.Phase == PhasePermit && req.asked == "" {
+		if req, ok := st.Requests[id]; ok && req.Phase == PhasePermit && req.requestedPermit == "" {
 			st.askPermit(req)
 		}
 	}
 }
 
-// poolDomains returns the failure domains that have replicas of the service, the own one first.
+// poolDomains returns the failure domains that have replicas of the service, this instance's own first.
 func (st *State) poolDomains(service string) []string {
 	var domains []string
 	for key, reps := range st.permits.pools {
@@ -189,30 +192,30 @@
 			domains = append(domains, key.FailureDomain)
 		}
 	}
-	slices.SortFunc(domains, func(one, two string) int {
+	slices.SortFunc(domains, func(a, b string) int {
 		switch st.Options.FailureDomain {
-		case one:
+		case a:
 			return -1
-		case two:
+		case b:
 			return 1
 		}
-		return strings.Compare(one, two)
+		return strings.Compare(a, b)
 	})
 	return domains
 }
 
-func (st *State) permitAnswered(ev event.PermitAnswered) {
+func (st *State) handlePermitAnswered(ev event.PermitAnswered) {
 	req, ok := st.Requests[ev.ID]
 	if !ok || req.Phase != PhasePermit {
-		st.returnPermit(ev)
+		st.releaseLateGrant(ev)
 		return
 	}
 	if ev.Lost {
-		st.permitLost(req)
+		st.continueWithoutPermit(req)
 		return
 	}
 	if !ev.Granted {
-		st.finish(req, st.ended(req, effect.ReasonBusy, "send it again later; the long prompts ahead fill the engines"))
+		st.finish(req, st.failureRefusal(req, effect.ReasonBusy, "send it again later; the long prompts ahead fill the engines"))
 		return
 	}
 	req.Permit = ev.Permit
@@ -224,27 +227,27 @@
 	}
 	if len(upstreams) != len(ev.Upstreams) {
 		st.releasePermit(req)
-		st.finish(req, st.ended(req, effect.ReasonNoUpstream, "send it again; a granted engine has left"))
+		st.finish(req, st.failureRefusal(req, effect.ReasonNoUpstream, "send it again; a granted engine has left"))
 		return
 	}
 	st.send(req, upstreams)
 }
 
-// permitLost goes on without a coordinator: what fits one engine goes as a short prompt, since the engine itself refuses
-// what it has no room for, and what needs several is refused, as without a permit two prompts could each hold a part
-// of the engines that the other needs.
-func (st *State) permitLost(req *Request) {
-	req.asked = ""
-	if !st.needsSeveral(req) {
+// continueWithoutPermit handles a request whose coordinator cannot be reached. A request that fits one engine is queued like
+// a short prompt, since the engine itself refuses what it has no room for. One that needs several engines is refused:
+// without permits two prompts could each hold some of the engines that the other needs.
+func (st *State) continueWithoutPermit(req *Request) {
+	req.requestedPermit = ""
+	if !st.needsSeveralEngines(req) {
 		st.count("Permits.Lost")
-		st.queue(req)
+		st.queueForReplica(req)
 		return
 	}
-	st.finish(req, st.ended(req, effect.ReasonBusy, "send it again; no instance that reserves several engines can be reached"))
+	st.finish(req, st.failureRefusal(req, effect.ReasonBusy, "send it again; no instance that reserves several engines can be reached"))
 }
 
-// returnPermit gives back a grant that came after its request had ended.
-func (st *State) returnPermit(ev event.PermitAnswered) {
+// releaseLateGrant releases a permit that was granted after its request had ended.
+func (st *State) releaseLateGrant(ev event.PermitAnswered) {
 	if !ev.Granted {
 		return
 	}
@@ -255,12 +258,12 @@
 	st.effects = append(st.effects, st.permits.holder.Release(st.now, ev.Permit)...)
 }
 
-// releasePermit gives back the request's reservation or its place in the coordinator's queue.
+// releasePermit releases the request's reservation or its place in the coordinator's queue.
 func (st *State) releasePermit(req *Request) {
-	if st.permits != nil && req.asked != "" {
-		st.effects = append(st.effects, st.permits.holder.Release(st.now, req.asked)...)
+	if st.permits != nil && req.requestedPermit != "" {
+		st.effects = append(st.effects, st.permits.holder.Release(st.now, req.requestedPermit)...)
 	}
-	req.asked = ""
+	req.requestedPermit = ""
 	if st.permits == nil && req.Permit != "" {
 		st.emit(effect.ReleasePermit{
 			ID: req.ID, Service: req.Service, FailureDomain: st.Options.FailureDomain, Permit: req.Permit,
@@ -269,8 +272,8 @@
 	req.Permit = ""
 }
 
-// needsSeveral tells that one engine's memory does not hold the request.
-func (st *State) needsSeveral(req *Request) bool {
+// needsSeveralEngines reports whether the request is larger than one engine's memory.
+func (st *State) needsSeveralEngines(req *Request) bool {
 	svc := st.Config.Services[req.Service]
 	return svc.Kind == decl.KindModel && svc.MemoryTokens > 0 && req.Tokens() > svc.MemoryTokens
 }
--- a/internal/core/poison.go
+++ b/internal/core/poison.go
@@ -7,23 +7,23 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// Quarantine of requests that take their upstreams down.
+// Quarantine of requests that crash their upstreams.
 const (
-	// deathsToQuarantine is how many upstreams may die of one request.
+	// deathsToQuarantine is the number of upstreams that the same content must crash to be quarantined.
 	deathsToQuarantine = 2
-	// quarantineTime is how long a digest stays refused.
-	quarantineTime = 30 * time.Minute
-	// deathMemory is how long a single death is remembered.
-	deathMemory = 10 * time.Minute
-	// maxQuarantine bounds the digests remembered.
-	maxQuarantine = 10000
+	// quarantineTTL is the time for which a quarantined digest is refused.
+	quarantineTTL = 30 * time.Minute
+	// deathTTL is the time for which content is suspect after a single crash.
+	deathTTL = 10 * time.Minute
+	// maxQuarantineEntries is the maximum number of digests recorded, and of upstreams recorded as dead.
+	maxQuarantineEntries = 10000
 )
 
-// quarantine remembers the digests that were in flight on upstreams that broke off. A caller resends a poisonous
-// request under a new id, so deaths are counted by content.
+// quarantine records the digests of the requests that were in flight on upstreams that broke off. Crashes are counted by
+// content, since a caller resends a request under a new ID.
 type quarantine struct {
 	byDigest map[event.Digest]event.Quarantined
-	// deadSince holds the upstreams that died and have shown no life since.
+	// deadSince holds the upstreams that crashed and have shown no sign of life since.
 	deadSince map[string]time.Time
 }
 
@@ -44,24 +44,24 @@
 	}
 }
 
-// countDeath notes that an upstream died while running the request, and refuses the request at the second one. An
-// upstream that broke off and takes new connections has not died: kept connections also end by an idle timeout.
+// countDeath records that an upstream crashed while running the request, and returns a refusal once deathsToQuarantine is
+// reached. An upstream that broke off and accepts new connections has not crashed: idle timeouts also close connections.
 func (st *State) countDeath(req *Request, ev event.AttemptEnded) *effect.Refusal {
 	if ev.Alive || ev.Result != event.ResultFailed && ev.Result != event.ResultBroken {
 		return nil
 	}
-	if st.wasDead(req, ev.Upstream) {
+	if st.wasAlreadyDead(req, ev.Upstream) {
 		return nil
 	}
 	req.Suspect = true
 	entry := st.poison.byDigest[req.Digest]
 	entry.Digest = req.Digest
 	entry.Deaths++
-	entry.Until = st.now.Add(deathMemory)
+	entry.Until = st.now.Add(deathTTL)
 	if entry.Deaths >= deathsToQuarantine {
-		entry.Until = st.now.Add(quarantineTime)
+		entry.Until = st.now.Add(quarantineTTL)
 	}
-	st.remember(entry)
+	st.storeDeaths(entry)
 	st.emit(effect.TellQuarantine{Quarantined: entry})
 	if entry.Deaths < deathsToQuarantine {
 		return nil
@@ -74,46 +74,47 @@
 	}
 }
 
-// wasDead tells that the upstream had died before the attempt was sent and has shown no life since, so that the attempt
-// killed nothing. Where something in between accepts connections for a dead process, each request sent there looks like
-// a death, and two dead replicas put whatever was tried on both under quarantine. The first death is remembered here.
-func (st *State) wasDead(req *Request, upstream string) bool {
+// wasAlreadyDead reports whether the upstream had crashed before the attempt was sent and has shown no sign of life since,
+// so that the attempt did not crash it. Where something in between accepts connections for a dead process, each request
+// sent there looks like a crash, and two dead replicas would quarantine everything tried on both. It also records the first
+// crash of an upstream.
+func (st *State) wasAlreadyDead(req *Request, upstream string) bool {
 	since, dead := st.poison.deadSince[upstream]
 	if dead {
 		return !req.SentAt.Before(since)
 	}
-	if len(st.poison.deadSince) >= maxQuarantine {
+	if len(st.poison.deadSince) >= maxQuarantineEntries {
 		clear(st.poison.deadSince)
 	}
 	st.poison.deadSince[upstream] = st.now
 	return false
 }
 
-// showedLife notes that the upstream was alive at the time.
-func (st *State) showedLife(upstream string, at time.Time) {
+// markAlive records that the upstream was alive at the given time.
+func (st *State) markAlive(upstream string, at time.Time) {
 	if since, dead := st.poison.deadSince[upstream]; dead && at.After(since) {
 		delete(st.poison.deadSince, upstream)
 	}
 }
 
-// clear takes the blame off content that an upstream has run to its end. Everything in flight on a replica that dies is
-// under suspicion, and all but one of it is innocent.
-func (st *State) clear(req *Request) {
+// clearSuspicion clears content that an upstream has run to its end. Everything in flight on a replica that crashes becomes
+// suspect, although at most one of these requests crashed it.
+func (st *State) clearSuspicion(req *Request) {
 	entry, ok := st.poison.byDigest[req.Digest]
 	if ok && entry.Deaths < deathsToQuarantine {
 		delete(st.poison.byDigest, req.Digest)
 	}
 }
 
-// isSuspect tells whether an upstream has died while running the request's content.
+// isSuspect reports whether an upstream has crashed while running the request's content.
 func (st *State) isSuspect(req *Request) bool {
 	entry, ok := st.poison.byDigest[req.Digest]
 	return ok && st.now.Before(entry.Until)
 }
 
-// suspected names the replicas that run suspects now. A suspect goes to another one if there is any: were two on one
-// replica, its death would put the innocent one into quarantine together with the guilty.
-func (st *State) suspected(req *Request) []string {
+// suspectReplicas returns the names of the replicas that run suspect requests of the service. Another suspect goes to a
+// different replica if there is one: with two on one replica, a crash would quarantine both, and one of them is innocent.
+func (st *State) suspectReplicas(req *Request) []string {
 	var names []string
 	for _, other := range st.Requests {
 		if other != req && other.Phase == PhaseRunning && other.Suspect && other.Service == req.Service {
@@ -123,25 +124,25 @@
 	return names
 }
 
-func (st *State) quarantined(ev event.Quarantined) {
+func (st *State) handleQuarantined(ev event.Quarantined) {
 	known := st.poison.byDigest[ev.Digest]
 	if ev.Deaths > known.Deaths || ev.Until.After(known.Until) {
-		st.remember(ev)
+		st.storeDeaths(ev)
 	}
 }
 
-func (st *State) remember(entry event.Quarantined) {
-	if len(st.poison.byDigest) >= maxQuarantine {
-		st.forgetOld()
+func (st *State) storeDeaths(entry event.Quarantined) {
+	if len(st.poison.byDigest) >= maxQuarantineEntries {
+		st.dropExpiredDeaths()
 	}
-	if _, known := st.poison.byDigest[entry.Digest]; !known && len(st.poison.byDigest) >= maxQuarantine {
-		// Full of entries still in force: one more death of an unknown content is the lesser harm.
+	if _, known := st.poison.byDigest[entry.Digest]; !known && len(st.poison.byDigest) >= maxQuarantineEntries {
+		// All entries are still in force. Not counting one crash of unknown content does less harm than dropping one of them.
 		return
 	}
 	st.poison.byDigest[entry.Digest] = entry
 }
 
-func (st *State) forgetOld() {
+func (st *State) dropExpiredDeaths() {
 	for digest, entry := range st.poison.byDigest {
 		if !st.now.Before(entry.Until) {
 			delete(st.poison.byDigest, digest)
@@ -149,7 +150,7 @@
 	}
 }
 
-// Quarantine returns the digests that are refused now.
+// Quarantine returns the entries of the digests that are refused now.
 func (st *State) Quarantine() []event.Quarantined {
 	var refused []event.Quarantined
 	for _, entry := range st.poison.byDigest {
@@ -160,7 +161,7 @@
 	return refused
 }
 
-// Deaths returns all that is under suspicion or quarantine now.
+// Deaths returns the entries of the digests that are suspect or quarantined now.
 func (st *State) Deaths() []event.Quarantined {
 	var known []event.Quarantined
 	for _, entry := range st.poison.byDigest {
--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -9,18 +9,19 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Pool is one pool as this instance sees it.
+// Pool describes a pool as this instance knows it.
 type Pool struct {
 	permit.Pool
-	// Coordinator is who reserves its memory for long prompts, empty without peers.
+	// Coordinator is the name of the instance that reserves the pool's memory for long prompts, empty if none is known.
 	Coordinator string
-	// Replicas counts the listed ones.
+	// Replicas is the number of listed replicas.
 	Replicas int
-	// Reserved is the memory in tokens under permits, by replica; only the coordinator knows it.
+	// Reserved is the memory reserved by permits, in tokens by replica; only the coordinator knows it.
 	Reserved map[string]int64
 }
 
-// Pools returns the pools in the order of service and failure domain, none in an instance without peers.
+// Pools returns the pools of model services, sorted by service and failure domain, or nil in an instance without peers or
+// permits.
 func (st *State) Pools() []Pool {
 	if st.permits == nil {
 		return nil
@@ -37,8 +38,8 @@
 		}
 		pools = append(pools, pl)
 	}
-	slices.SortFunc(pools, func(one, two Pool) int {
-		return cmp.Or(cmp.Compare(one.Service, two.Service), cmp.Compare(one.FailureDomain, two.FailureDomain))
+	slices.SortFunc(pools, func(a, b Pool) int {
+		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.FailureDomain, b.FailureDomain))
 	})
 	return pools
 }
--- a/internal/core/retry.go
+++ b/internal/core/retry.go
@@ -11,20 +11,20 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Retries of one request.
-
+// Limits on the retries of a request.
 const (
-	// maxAttempts bounds the attempts in a row that bring the answer no further.
-	maxAttempts = 6
-	// freeRepeats is how many of those the organisation's retry budget does not pay for.
-	freeRepeats = 2
-	// retryPause is the wait after an upstream's refusal that names no time.
+	// maxAttemptsWithoutProgress is the number of consecutive attempts without progress in the answer after which a request
+	// fails.
+	maxAttemptsWithoutProgress = 6
+	// freeRetries is the number of retries after such attempts that the organisation's retry budget is not charged for.
+	freeRetries = 2
+	// retryPause is the minimum pause after a refusal by an upstream.
 	retryPause = 50 * time.Millisecond
-	// maxRetryPause caps what an upstream may ask for.
+	// maxRetryPause is the maximum pause that an upstream can ask for.
 	maxRetryPause = time.Second
 )
 
-func (st *State) attemptEnded(ev event.AttemptEnded) {
+func (st *State) handleAttemptEnded(ev event.AttemptEnded) {
 	req, ok := st.Requests[ev.ID]
 	if !ok || req.Phase != PhaseRunning || ev.Attempt != req.Attempt {
 		return
@@ -35,23 +35,23 @@
 	}
 	switch {
 	case ev.Result == event.ResultDone:
-		st.clear(req)
+		st.clearSuspicion(req)
 		st.finish(req, nil)
 	case req.Gone || ev.Result == event.ResultCancelled:
-		st.finish(req, st.ended(req, effect.ReasonOutcome, "the caller left"))
+		st.finish(req, st.failureRefusal(req, effect.ReasonOutcome, "the caller left"))
 	case ev.Result == event.ResultExpired || !st.now.Before(req.Deadline):
-		st.finish(req, st.ended(req, effect.ReasonDeadline, "allow more time in the deadline header"))
+		st.finish(req, st.failureRefusal(req, effect.ReasonDeadline, "allow more time in the deadline header"))
 	default:
 		st.retry(req, ev)
 	}
-	st.pump(req.Service)
+	st.dispatch(req.Service)
 }
 
-// settleUpstreams takes the attempt off its upstreams and counts it against the one that failed.
+// settleUpstreams ends the attempt at its upstreams and counts a failure against the one that caused it.
 func (st *State) settleUpstreams(req *Request, ev event.AttemptEnded) {
 	for _, up := range req.Upstreams {
 		result := event.ResultCancelled
-		if up.Name == ev.Upstream && !st.ownEnd(req, ev) {
+		if up.Name == ev.Upstream && !st.connectAbandoned(req, ev) {
 			result = ev.Result
 		}
 		if st.Route.Ended(st.now, up.Name, req.ID, ev.Offset-req.Offset, result) {
@@ -64,9 +64,9 @@
 	}
 }
 
-// ownEnd tells that an attempt failed to connect because its caller had left or its time was over, which says nothing
-// about the upstream.
-func (st *State) ownEnd(req *Request, ev event.AttemptEnded) bool {
+// connectAbandoned reports whether an attempt failed to connect because its caller had disconnected or its deadline had
+// passed, which is no failure of the upstream.
+func (st *State) connectAbandoned(req *Request, ev event.AttemptEnded) bool {
 	return ev.Result == event.ResultNotSent && (req.Gone || !st.now.Before(req.Deadline))
 }
 
@@ -79,7 +79,7 @@
 	return ""
 }
 
-// retry sends the request again if that is safe, allowed and in time.
+// retry queues the request for another attempt if that is safe and allowed, and otherwise ends it.
 func (st *State) retry(req *Request, ev event.AttemptEnded) {
 	req.Tried = append(req.Tried, ev.Upstream)
 	progressed := ev.Offset > req.Offset
@@ -88,18 +88,18 @@
 		st.finish(req, refusal)
 		return
 	}
-	if rejects(ev.Status) && st.service(req).Kind == decl.KindModel {
-		refusal := st.ended(req, effect.ReasonRejected, "the engine answered "+strconv.Itoa(ev.Status)+"; correct the request")
+	if isRequestError(ev.Status) && st.service(req).Kind == decl.KindModel {
+		refusal := st.failureRefusal(req, effect.ReasonRejected, "the engine answered "+strconv.Itoa(ev.Status)+"; correct the request")
 		refusal.RetryAfter = 0
 		st.finish(req, refusal)
 		return
 	}
 	if !st.safeToRetry(req, ev) {
-		st.finish(req, st.ended(req, effect.ReasonUpstream, "look at its effect before sending it again"))
+		st.finish(req, st.failureRefusal(req, effect.ReasonUpstream, "look at its effect before sending it again"))
 		return
 	}
 	if !st.mayRetry(req, progressed) {
-		st.finish(req, st.ended(req, effect.ReasonUpstream, "send it again later"))
+		st.finish(req, st.failureRefusal(req, effect.ReasonUpstream, "send it again later"))
 		return
 	}
 	st.count("Requests.Retried")
@@ -107,33 +107,35 @@
 	if ev.Result == event.ResultNotRun {
 		pause := max(retryPause, min(ev.RetryAfter, maxRetryPause))
 		req.NotBefore = st.now.Add(pause)
-		// Refusing for want of room is no failure; the same replica may have room after the pause.
+		// A refusal for lack of room is no failure; the same replica may have room after the pause.
 		req.Tried = slices.DeleteFunc(req.Tried, func(name string) bool { return name == ev.Upstream })
 	}
 	st.enqueue(req)
 }
 
-// rejects tells that an engine found the request itself wrong. Other statuses of that kind depend on the replica.
-func rejects(status int) bool {
+// isRequestError reports whether an engine rejected the request itself as invalid. Other 4xx statuses can depend on the
+// replica.
+func isRequestError(status int) bool {
 	return status == http.StatusBadRequest || status == http.StatusRequestEntityTooLarge || status == http.StatusUnprocessableEntity
 }
 
-// mayRetry bounds the repeats. Attempts that brought the answer forward don't count, so that a long stream outlives
-// any number of broken connections. The first repeats are free: a replica that dies takes all its streams with
-// it, and the budget is there against repeats that add to an overload.
+// mayRetry reports whether the request may be retried, and counts the attempt. Attempts that made progress in the answer
+// don't count, so that a long stream survives any number of broken connections. The first retries are free, since a crashed
+// replica breaks all its streams at once and the budget is meant for retries that add to an overload.
 func (st *State) mayRetry(req *Request, progressed bool) bool {
 	if progressed {
-		req.Fruitless = 0
+		req.AttemptsWithoutProgress = 0
 		return true
 	}
-	req.Fruitless++
-	if req.Fruitless >= maxAttempts {
+	req.AttemptsWithoutProgress++
+	if req.AttemptsWithoutProgress >= maxAttemptsWithoutProgress {
 		return false
 	}
-	return req.Fruitless <= freeRepeats || st.Admit.Retry(req.Organisation)
+	return req.AttemptsWithoutProgress <= freeRetries || st.Admit.Retry(req.Organisation)
 }
 
-// safeToRetry allows a repeat of what was certainly not run, and of idempotent requests whose answer can be resumed.
+// safeToRetry reports whether the request certainly did not run, or is repeatable and its answer has not begun or can be
+// resumed.
 func (st *State) safeToRetry(req *Request, ev event.AttemptEnded) bool {
 	if !req.MayHaveRun {
 		return true
@@ -141,6 +143,6 @@
 	if !st.repeatable(req) {
 		return false
 	}
-	// Part of a plain service's answer is with the caller and cannot be resumed.
+	// A plain service's answer cannot be resumed once the caller has part of it.
 	return st.service(req).Kind == decl.KindModel || ev.Result == event.ResultFailed || !req.Answered
 }
--- a/internal/core/retry_test.go
+++ b/internal/core/retry_test.go
@@ -11,7 +11,7 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// find returns the first effect of a kind.
+// find returns the first effect of the given type.
 func find[Effect effect.Effect](effects []effect.Effect) (Effect, bool) {
 	for _, eff := range effects {
 		if found, ok := eff.(Effect); ok {
@@ -22,7 +22,7 @@
 	return none, false
 }
 
-// lyric arrives as request id with content of its own or shared.
+// lyric sends the event of a request's arrival. Requests with the same content have the same digest.
 func (in *instance) lyric(id event.RequestID, content byte) []effect.Effect {
 	return in.reduce(event.Arrived{
 		ID: id, Service: "lyric", PromptTokens: 1000, Idempotent: true,
@@ -30,7 +30,7 @@
 	})
 }
 
-// engines lists as many engines.
+// engines sends a list of engines with these names.
 func (in *instance) engines(names ...string) {
 	var listed event.UpstreamsListed
 	for _, name := range names {
@@ -39,16 +39,16 @@
 	in.reduce(listed)
 }
 
-func TestPoisonKillsTwoAtMost(t *testing.T) {
-	// A caller's request crashes each engine that runs it, and the caller sends it again under a new id.
-	// It is retried once; after the second death it is refused with "ran", and a resend with "not run", at once.
+func TestRequestThatCrashesTwoUpstreamsIsQuarantined(t *testing.T) {
+	// A request crashes each engine that runs it, and its caller sends it again under a new ID. It is retried once and
+	// refused with "ran" after the second crash. The resend must be refused with "not run" at once, or it crashes more engines.
 	in := newInstance(t)
 	in.engines("lyric-0", "lyric-1", "lyric-2")
 	sent := only[effect.Send](t, in.lyric(1, 7))
 	first := in.reduce(event.AttemptEnded{ID: 1, Attempt: 1, Upstream: sent.Upstreams[0].Name, Result: event.ResultFailed})
-	told, ok := find[effect.TellQuarantine](first)
+	reported, ok := find[effect.TellQuarantine](first)
 	assert.Assert(t, ok)
-	assert.Equal(t, told.Quarantined.Deaths, 1)
+	assert.Equal(t, reported.Quarantined.Deaths, 1)
 	again, ok := find[effect.Send](first)
 	assert.Assert(t, ok)
 	second := in.reduce(event.AttemptEnded{ID: 1, Attempt: 2, Upstream: again.Upstreams[0].Name, Result: event.ResultFailed})
@@ -60,24 +60,24 @@
 	assert.Equal(t, resent.Refusal.Ran, effect.NotRun)
 }
 
-func TestClosedConnectionIsNoDeath(t *testing.T) {
-	// An engine closes kept connections after their idle time, just when requests are sent on them, again and again.
-	// The caller gets its answer from a retry, and the content is not put under quarantine for it.
+func TestClosedConnectionIsNotCountedAsCrash(t *testing.T) {
+	// An engine's idle timeout closes connections just as requests are sent on them, several times in a row. The request
+	// must be retried each time, and its content must not be counted as having crashed the engine.
 	in := newInstance(t)
 	sent := only[effect.Send](t, in.lyric(1, 7))
 	for attempt := 1; attempt <= 3; attempt++ {
 		effects := in.reduce(event.AttemptEnded{ID: 1, Attempt: attempt, Upstream: sent.Upstreams[0].Name, Result: event.ResultFailed, Alive: true})
-		_, told := find[effect.TellQuarantine](effects)
-		assert.Assert(t, !told)
+		_, reported := find[effect.TellQuarantine](effects)
+		assert.Assert(t, !reported)
 		next, ok := find[effect.Send](effects)
 		assert.Assert(t, ok)
 		sent = next
 	}
 }
 
-func TestInnocentInFlightIsCleared(t *testing.T) {
-	// An engine dies with two requests in flight, one of which killed it. Both are retried, on engines of their own, so
-	// that the next death shows which one it was. The innocent one ends well and is free of blame.
+func TestSuspicionIsClearedAfterSuccess(t *testing.T) {
+	// An engine crashes with two requests in flight, one of which caused it. They are retried on different engines, so that
+	// the next crash shows which one it was. The innocent request completes and is no longer suspect.
 	in := newInstance(t)
 	in.engines("lyric-0")
 	only[effect.Send](t, in.lyric(1, 1))
@@ -89,37 +89,36 @@
 	assert.Assert(t, ok)
 	assert.Assert(t, guilty.Upstreams[0].Name != innocent.Upstreams[0].Name)
 	in.reduce(event.AttemptEnded{ID: 2, Attempt: 2, Upstream: innocent.Upstreams[0].Name, Result: event.ResultDone})
-	// Another engine dies with the innocent content in flight again; one death alone refuses nothing.
+	// Another engine crashes with the innocent content in flight; a single crash must not quarantine it.
 	sent := only[effect.Send](t, in.lyric(3, 2))
 	_, retried := find[effect.Send](in.reduce(event.AttemptEnded{ID: 3, Attempt: 1, Upstream: sent.Upstreams[0].Name, Result: event.ResultBroken}))
 	assert.Assert(t, retried)
 }
 
-func TestDeadReplicasKillNobody(t *testing.T) {
-	// An engine has died, and something before it still accepts connections and ends them. A request that is sent there
-	// afterwards killed nothing, and its caller must not be told that it did; once the engine has reported again, the
-	// next death is one.
+func TestFailureOnDeadUpstreamIsNotCountedAgainstRequest(t *testing.T) {
+	// An engine has crashed, and something in front of it still accepts connections and closes them. A request that is sent
+	// there afterwards must not be counted as having crashed it. Once the engine has reported again, the next crash counts.
 	in := newInstance(t)
 	in.engines("lyric-0")
-	blamed := func(id event.RequestID) bool {
+	counted := func(id event.RequestID) bool {
 		only[effect.Send](t, in.lyric(id, byte(id)))
 		in.now = in.now.Add(time.Second)
 		effects := in.reduce(event.AttemptEnded{ID: id, Attempt: 1, Upstream: "lyric-0", Result: event.ResultFailed})
 		in.reduce(event.CallerGone{ID: id})
 		in.reduce(event.AttemptEnded{ID: id, Attempt: 2, Upstream: "lyric-0", Result: event.ResultCancelled})
-		_, told := find[effect.TellQuarantine](effects)
-		return told
+		_, reported := find[effect.TellQuarantine](effects)
+		return reported
 	}
-	assert.Assert(t, blamed(1))
-	assert.Assert(t, !blamed(2))
+	assert.Assert(t, counted(1))
+	assert.Assert(t, !counted(2))
 	in.now = in.now.Add(time.Second)
 	in.reduce(event.LoadReported{Upstream: "lyric-0", At: in.now})
-	assert.Assert(t, blamed(3))
+	assert.Assert(t, counted(3))
 }
 
-func TestLongStreamOutlivesManyBreaks(t *testing.T) {
-	// A long translation's connection breaks every few tokens. Each attempt brings the answer forward, so the caller gets
-	// all of it; only attempts without progress are counted, and those end the request.
+func TestProgressResetsAttemptLimit(t *testing.T) {
+	// A long answer's connection breaks after every token. Attempts that make progress must not count against the maximum, or
+	// the answer would never be completed; consecutive attempts without progress end the request.
 	in := newInstance(t)
 	only[effect.Send](t, in.lyric(1, 7))
 	attempt := 1
@@ -127,26 +126,26 @@
 		_, sent := find[effect.Send](in.reduce(event.AttemptEnded{ID: 1, Attempt: attempt, Upstream: "lyric-0", Result: event.ResultBroken, Offset: int64(attempt), Alive: true}))
 		assert.Assert(t, sent)
 	}
-	fruitless := 0
+	noProgress := 0
 	for ; len(in.st.Requests) > 0; attempt++ {
 		in.reduce(event.AttemptEnded{ID: 1, Attempt: attempt, Upstream: "lyric-0", Result: event.ResultBroken, Offset: 50, Alive: true})
-		fruitless++
+		noProgress++
 	}
-	assert.Equal(t, fruitless, 6)
+	assert.Equal(t, noProgress, 6)
 }
 
-func TestWhatIsSaidOfARun(t *testing.T) {
-	// A caller that hears "ran" or "not run" acts on it, so either is said only if it is certain. An engine that gave no
-	// byte of an answer may have run the request or not.
+func TestRefusalReportsWhetherRequestRan(t *testing.T) {
+	// Callers act on "ran" and "not run", so a refusal may report either only if it is certain. An engine that sent no byte of
+	// an answer may or may not have run the request.
 	cases := map[string]struct {
 		result   event.Result
 		answered bool
 		ran      effect.Ran
 	}{
-		"no byte of an answer": {event.ResultExpired, false, effect.Unknown},
-		"part of an answer":    {event.ResultExpired, true, effect.HasRun},
-		"never sent":           {event.ResultNotSent, false, effect.NotRun},
-		"refused":              {event.ResultNotRun, false, effect.NotRun},
+		"expired before an answer": {event.ResultExpired, false, effect.Unknown},
+		"expired within an answer": {event.ResultExpired, true, effect.HasRun},
+		"never sent":               {event.ResultNotSent, false, effect.NotRun},
+		"refused":                  {event.ResultNotRun, false, effect.NotRun},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -163,9 +162,9 @@
 	}
 }
 
-func TestRejectedIsNotRetried(t *testing.T) {
-	// The engine answers 400 to a request that is wrong by itself. The caller hears so at once; other engines would
-	// answer the same.
+func TestRequestErrorIsNotRetried(t *testing.T) {
+	// An engine answers 400 to an invalid request. The request must be refused at once and not be retried, since other engines
+	// would answer the same.
 	in := newInstance(t)
 	only[effect.Send](t, in.lyric(1, 7))
 	finish := only[effect.Finish](t, in.reduce(event.AttemptEnded{ID: 1, Attempt: 1, Upstream: "lyric-0", Result: event.ResultNotRun, Status: 400}))
@@ -173,9 +172,9 @@
 	assert.Equal(t, finish.Refusal.Ran, effect.NotRun)
 }
 
-func TestLeavingCallersDoNotEject(t *testing.T) {
-	// Callers leave while connections to their engine are being opened. That says nothing about the engine, which
-	// would be ejected after three of them.
+func TestCallerDisconnectsDoNotEjectUpstream(t *testing.T) {
+	// Callers disconnect while connections to their engine are being opened. These attempts must not count as failures of the
+	// engine, which would be ejected after three of them.
 	in := newInstance(t)
 	in.engines("lyric-0", "lyric-1", "lyric-2")
 	for id := event.RequestID(1); id <= 30; id++ {
@@ -189,8 +188,8 @@
 	}
 }
 
-func TestSilenceClosesTheConnectionsOfItsAddress(t *testing.T) {
-	// A stream went silent. The engine's other kept connections are closed, which are known by the address.
+func TestSilentAttemptClosesIdleConnectionsOfItsAddress(t *testing.T) {
+	// A stream makes no progress. The engine's idle connections must be closed too, and they are identified by its address.
 	in := newInstance(t)
 	in.engines("lyric-0")
 	only[effect.Send](t, in.lyric(1, 7))
@@ -200,12 +199,12 @@
 }
 
 func TestLongPrefillIsNotSilence(t *testing.T) {
-	// A prompt of a million tokens at 20,000 a second has its first token after 50 s; a ProgressTimeout of 5 s must not
-	// start it over. A short prompt's silence is still found in little more than 5 s.
+	// The prefill of a million tokens takes 50 s at 20,000 a second. A ProgressTimeout of 5 s must not end it and start it
+	// over. Silence after a short prompt must still be detected within 6 s.
 	in := newInstance(t)
 	in.reduce(event.ConfigAccepted{Config: &decl.Config{
 		Version: 2,
-		// An engine that holds such a prompt; a smaller one's would be refused on arrival.
+		// The engine's memory has to hold the prompt, which would otherwise be refused on arrival.
 		Services: map[string]decl.Service{"lyric": {Kind: decl.KindModel, Models: []decl.Model{{Name: "lyric"}}, MemoryTokens: 1_200_000}},
 	}})
 	sent := only[effect.Send](t, in.reduce(event.Arrived{
@@ -218,9 +217,9 @@
 	assert.Assert(t, short.FirstSilence < 6*time.Second, "%s", short.FirstSilence)
 }
 
-func TestDeadlineInTheQueue(t *testing.T) {
-	// All engines are full until a request's time is over. Its caller hears so then, with "not run", and the queue
-	// holds nothing of it.
+func TestDeadlineExpiresInQueue(t *testing.T) {
+	// All engines are full until a queued request's deadline passes. It must be refused then, with "not run", and be removed
+	// from the queue.
 	in := newInstance(t)
 	in.engines("lyric-0")
 	id := event.RequestID(1)
--- a/internal/core/share.go
+++ b/internal/core/share.go
@@ -7,59 +7,59 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// maxDemands keeps a message under a kilobyte.
+// maxDemands is the maximum number of demands in a message, which keeps it smaller than a kilobyte.
 const maxDemands = 24
 
-// tellDemands tells each instance that shares out limits what the organisations ask for here.
-func (st *State) tellDemands() {
+// sendDemands sends the organisations' demands at this instance to the instances that divide their limits.
+func (st *State) sendDemands() {
 	if st.now.Before(st.nextDemands) || len(st.Instances) == 0 {
 		return
 	}
 	st.nextDemands = st.now.Add(st.Admit.TellPeriod())
 	st.Admit.ForgetDemands(st.now)
-	bySharer := map[event.Instance][]event.Demand{}
+	byAllocator := map[event.Instance][]event.Demand{}
 	var order []event.Instance
 	for _, dem := range st.Admit.Demands(st.now, st.Config.Organisations) {
-		sharer := st.sharerOf(dem.Organisation)
-		if len(bySharer[sharer]) == 0 {
-			order = append(order, sharer)
+		allocator := st.allocatorOf(dem.Organisation)
+		if len(byAllocator[allocator]) == 0 {
+			order = append(order, allocator)
 		}
-		bySharer[sharer] = append(bySharer[sharer], dem)
+		byAllocator[allocator] = append(byAllocator[allocator], dem)
 	}
-	for _, sharer := range order {
-		st.tellSharer(sharer, bySharer[sharer])
+	for _, allocator := range order {
+		st.sendDemandsTo(allocator, byAllocator[allocator])
 	}
 }
 
-func (st *State) tellSharer(sharer event.Instance, demands []event.Demand) {
-	if sharer.Name == st.Options.Name {
-		st.Admit.TakeShares(st.now, st.Admit.ShareOut(st.now, sharer.Name, demands))
+func (st *State) sendDemandsTo(allocator event.Instance, demands []event.Demand) {
+	if allocator.Name == st.Options.Name {
+		st.Admit.TakeShares(st.now, st.Admit.ShareOut(st.now, allocator.Name, demands))
 		return
 	}
 	for len(demands) > 0 {
 		count := min(len(demands), maxDemands)
-		st.emit(effect.TellDemand{To: sharer, Demands: demands[:count]})
+		st.emit(effect.TellDemand{To: allocator, Demands: demands[:count]})
 		demands = demands[count:]
 	}
 }
 
-// sharerOf is the instance that shares out the organisation's limits: the one of the highest hash, so that all
-// instances name the same one as long as they know the same instances, and a lost one moves only its own.
-func (st *State) sharerOf(organisation string) event.Instance {
-	var sharer event.Instance
+// allocatorOf returns the instance that divides the organisation's limits, chosen by rendezvous hashing: instances that know
+// the same instances choose the same one, and the loss of an instance moves only the organisations that it served.
+func (st *State) allocatorOf(organisation string) event.Instance {
+	var allocator event.Instance
 	var highest uint64
 	for _, inst := range st.Instances {
 		if inst.Leaving {
 			continue
 		}
-		if hash := xxhash.Sum64String(inst.Name + "/" + organisation); sharer.Name == "" || hash > highest {
-			sharer, highest = inst, hash
+		if hash := xxhash.Sum64String(inst.Name + "/" + organisation); allocator.Name == "" || hash > highest {
+			allocator, highest = inst, hash
 		}
 	}
-	return sharer
+	return allocator
 }
 
-func (st *State) demandHeard(ev event.DemandHeard) {
+func (st *State) handleDemandHeard(ev event.DemandHeard) {
 	shares := st.Admit.ShareOut(st.now, ev.From, ev.Demands)
 	for _, inst := range st.Instances {
 		if inst.Name == ev.From {
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -1,4 +1,5 @@
-// Package core composes the reducers of one instance: the life of each request, from arrival to its one end.
+// Package core implements the reducer of an entry instance. It composes the reducers for admission, routing, permits and
+// membership and takes each request from its arrival to its single effect.Finish.
 package core
 
 import (
@@ -12,132 +13,135 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Options fix what an instance is.
+// Options are the fixed properties of an instance.
 type Options struct {
 	Name          string
 	FailureDomain string
 	// Seed makes random choices repeatable.
 	Seed uint64
-	// Peers turns on the membership. Incarnation is this run's, higher than that of any earlier run of the name.
-	Peers       bool
+	// Peers turns on the membership.
+	Peers bool
+	// Incarnation identifies this run and is higher than that of any earlier run of the same name.
 	Incarnation uint64
-	// NameRequest gives a request its name towards upstreams and coordinators, unique over all runs of all instances.
+	// NameRequest returns the name of a request at upstreams and coordinators, unique over all runs of all instances.
 	NameRequest func(id event.RequestID) string
-	// Permits makes long prompts ask their pool's coordinator.
+	// Permits makes long prompts wait for a permit from their pool's coordinator.
 	Permits bool
-	// Policy is how replicas are chosen; nil is route.Sail. A baseline also serves first come first served, without
-	// permits and without priorities at the engines.
+	// Policy chooses the replicas; nil is route.Sail. The other policies are baselines, under which requests are also served
+	// in order of arrival, without permits and without priorities at the engines.
 	Policy route.Policy
 }
 
-// State is everything an instance decides from. It belongs to one goroutine.
+// State is the complete state of an instance's reducer. It is not safe for concurrent use.
 type State struct {
 	Options Options
-	// Config is the version in force, never nil and never replaced by a lower one.
+	// Config is the configuration in force. It is never nil and never replaced by a lower version.
 	Config *decl.Config
 	Admit  *admit.State
 	Route  *route.State
-	// Requests holds every request that has no Finish yet or whose claim is not settled.
+	// Requests holds every request that has not finished yet or whose claim is not settled.
 	Requests map[event.RequestID]*Request
 	// Member is the membership, nil in an instance without peers.
 	Member *member.State
-	// Instances is who is live by the membership, or the platform's list without one.
+	// Instances are the live instances of the membership, or the platform's list in an instance without peers.
 	Instances []event.Instance
-	// Draining refuses new requests.
+	// Draining reports whether new requests are refused because the instance is shutting down.
 	Draining bool
 
 	now time.Time
-	// permits is nil in an instance without peers.
-	permits   *permits
-	effects   []effect.Effect
-	deadlines deadlineHeap
-	poison    quarantine
-	table     table
-	reasons   map[reasonKey]string
-	// nextDemands is when the organisations' demands are told next.
+	// permits is nil without Options.Peers or without Options.Permits.
+	permits        *permitState
+	effects        []effect.Effect
+	deadlines      deadlineHeap
+	poison         quarantine
+	table          table
+	reasonCounters map[reasonKey]string
+	// nextDemands is the time at which the organisations' demands are sent next.
 	nextDemands time.Time
 }
 
-// Phase is where in its life a request is.
+// Phase is the phase of processing that a request is in.
 type Phase int
 
 // The phases of a request.
 const (
-	// PhaseClaiming waits for the idempotency key to be recorded.
+	// PhaseClaiming means that the request waits for its idempotency key to be recorded.
 	PhaseClaiming Phase = iota + 1
-	// PhaseQueued waits for an upstream with room.
+	// PhaseQueued means that the request waits for an upstream with room.
 	PhaseQueued
-	// PhasePermit waits for the pool's coordinator.
+	// PhasePermit means that the request waits for a permit from the pool's coordinator.
 	PhasePermit
-	// PhaseRunning has an attempt under way.
+	// PhaseRunning means that an attempt is under way.
 	PhaseRunning
-	// PhaseAbandoned has had its Finish and waits only for its claim to settle, to release it.
+	// PhaseAbandoned means that the request has finished and is kept only to release its claim once that settles.
 	PhaseAbandoned
 )
 
-// Request is one request's state.
+// Request is the state of a request.
 type Request struct {
 	event.Arrived
 	Phase Phase
 	Class decl.LengthClass
-	// level and above place its class among the others by priority.
-	level, above int
-	// At is when it arrived.
+	// level is the number of distinct class priorities below that of its class.
+	level int
+	// above is the number of distinct class priorities above that of its class.
+	above int
+	// At is the time of arrival.
 	At time.Time
-	// Attempt counts from 1; 0 before the first.
+	// Attempt is the number of the latest attempt, counted from 1; 0 before the first.
 	Attempt int
-	// Upstreams are those of the attempt under way.
+	// Upstreams are the upstreams of the attempt under way.
 	Upstreams []event.Upstream
-	// Tried names the upstreams that failed it.
+	// Tried are the names of the upstreams at which attempts failed.
 	Tried []string
-	// Offset is how many tokens of the answer the caller has.
+	// Offset is the number of tokens of the answer that the caller has.
 	Offset int64
-	// Answered tells that some of the answer came.
+	// Answered reports whether some of the answer was received.
 	Answered bool
-	// MayHaveRun tells that some attempt may have run or may yet run.
+	// MayHaveRun reports whether an attempt may have run the request or may still run it.
 	MayHaveRun bool
-	// Gone tells that the caller left.
+	// Gone reports whether the caller has disconnected.
 	Gone bool
-	// Aborted tells that an Abort was sent for the attempt under way.
+	// Aborted reports whether an effect.Abort was emitted for the attempt under way.
 	Aborted bool
-	// Claimed tells that the key is recorded.
+	// Claimed reports whether the idempotency key is recorded.
 	Claimed bool
-	// Permit names the reservation held, empty if none.
+	// Permit is the name of the reservation held, empty if there is none.
 	Permit string
-	// asked names the permit asked for, empty if none is asked for or held.
-	asked string
-	// NotBefore delays the next attempt after a refusal by an upstream.
+	// requestedPermit is the name of the permit requested from the coordinator or held, empty if there is none.
+	requestedPermit string
+	// NotBefore is the earliest time of the next attempt after a refusal by an upstream.
 	NotBefore time.Time
-	// Fruitless counts the attempts in a row that brought the answer no further.
-	Fruitless int
-	// SentAt is when the attempt under way was sent.
+	// AttemptsWithoutProgress is the number of consecutive attempts without progress in the answer.
+	AttemptsWithoutProgress int
+	// SentAt is the time at which the attempt under way was sent.
 	SentAt time.Time
-	// Suspect tells that an upstream died while running this content.
+	// Suspect reports whether an upstream crashed while running this content.
 	Suspect bool
 }
 
-// Tokens is the memory that the request needs.
+// Tokens returns the KV memory that the request needs, in tokens.
 func (req *Request) Tokens() int64 {
 	return req.PromptTokens + req.MaxTokens
 }
 
-// New returns the state of an instance that has seen nothing yet.
+// New returns the state of an instance that has received no events yet.
 func New(opts Options) *State {
 	st := &State{
-		Options:  opts,
-		Config:   &decl.Config{},
-		Admit:    admit.New(),
-		Route:    route.New(opts.FailureDomain, opts.Seed),
-		Requests: map[event.RequestID]*Request{},
-		poison:   newQuarantine(),
-		table:    newTable(&decl.Config{}),
-		reasons:  map[reasonKey]string{},
+		Options:        opts,
+		Config:         &decl.Config{},
+		Admit:          admit.New(),
+		Route:          route.New(opts.FailureDomain, opts.Seed),
+		Requests:       map[event.RequestID]*Request{},
+		poison:         newQuarantine(),
+		table:          newTable(&decl.Config{}),
+		reasonCounters: map[reasonKey]string{},
 	}
 	if opts.Peers {
 		self := event.Instance{Name: opts.Name, FailureDomain: opts.FailureDomain}
 		st.Member = member.New(self, opts.Incarnation, opts.Seed)
 		if opts.Permits {
-			st.permits = st.newPermits(self)
+			st.permits = st.newPermitState(self)
 		}
 	}
 	if opts.Policy != nil {
@@ -146,66 +150,67 @@
 	return st
 }
 
-// baseline tells that the instance runs a policy kept for comparison only.
+// baseline reports whether the instance runs a policy that exists only for comparison.
 func (st *State) baseline() bool {
-	_, own := st.Route.Policy.(route.Sail)
-	return !own
+	_, isSail := st.Route.Policy.(route.Sail)
+	return !isSail
 }
 
-// Reduce takes one event and returns what is to be done. The slice is valid until the next call.
+// Reduce applies an event that occurs at the given time and returns the effects to perform. The slice is valid until the
+// next call.
 func (st *State) Reduce(now time.Time, ev event.Event) []effect.Effect {
 	st.now = now
 	st.effects = st.effects[:0]
 	switch ev := ev.(type) {
 	case event.Arrived:
-		st.arrived(ev)
+		st.handleArrived(ev)
 	case event.CallerGone:
-		st.callerGone(ev)
+		st.handleCallerGone(ev)
 	case event.Answering:
-		st.answering(ev)
+		st.handleAnswering(ev)
 	case event.AttemptEnded:
-		st.attemptEnded(ev)
+		st.handleAttemptEnded(ev)
 	case event.ClaimSettled:
-		st.claimSettled(ev)
+		st.handleClaimSettled(ev)
 	case event.PermitAnswered:
-		st.permitAnswered(ev)
+		st.handlePermitAnswered(ev)
 	case event.LoadReported:
-		st.showedLife(ev.Upstream, ev.At)
+		st.markAlive(ev.Upstream, ev.At)
 		st.Route.Report(st.now, ev)
 	case event.CacheChanged:
 		st.Route.CacheChanged(st.now, ev)
 	case event.UpstreamsListed:
 		st.Route.List(st.now, ev)
 		st.regroupPools()
-		st.followMembers(ev)
-		st.pumpAll()
+		st.reduceMembership(ev)
+		st.dispatchAll()
 	case event.InstancesListed:
-		st.instancesListed(ev)
+		st.handleInstancesListed(ev)
 	case event.ConfigAccepted:
-		st.configAccepted(ev)
+		st.handleConfigAccepted(ev)
 	case event.Quarantined:
-		st.quarantined(ev)
+		st.handleQuarantined(ev)
 	case event.DemandHeard:
-		st.demandHeard(ev)
+		st.handleDemandHeard(ev)
 	case event.SharesHeard:
 		st.Admit.TakeShares(st.now, ev.Shares)
 	case event.DrainStarted:
 		st.Draining = true
-		st.followMembers(ev)
+		st.reduceMembership(ev)
 	case event.PeerOpened:
-		st.peerOpened(ev)
+		st.handlePeerOpened(ev)
 	case event.Probed, event.ProbeAcked, event.Gossiped:
-		st.followMembers(ev)
+		st.reduceMembership(ev)
 	case event.PermitAsked, event.PermitGranted, event.PermitReturned, event.PermitRenewed, event.PermitsKnown:
-		st.followPermits(ev)
+		st.reducePermits(ev)
 	case event.Ticked:
-		st.followMembers(ev)
-		st.followPermits(ev)
+		st.reduceMembership(ev)
+		st.reducePermits(ev)
 		st.askDelayed()
 		st.expire()
 		st.ejectSlow()
-		st.tellDemands()
-		st.pumpAll()
+		st.sendDemands()
+		st.dispatchAll()
 	}
 	return st.effects
 }
@@ -214,12 +219,12 @@
 	st.effects = append(st.effects, eff)
 }
 
-func (st *State) configAccepted(ev event.ConfigAccepted) {
+func (st *State) handleConfigAccepted(ev event.ConfigAccepted) {
 	if ev.Config.Version <= st.Config.Version {
 		return
 	}
 	st.Config = ev.Config
 	st.table = newTable(ev.Config)
 	st.Route.Configure(ev.Config)
-	st.pumpAll()
+	st.dispatchAll()
 }
--- a/internal/core/table.go
+++ b/internal/core/table.go
@@ -6,25 +6,27 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// table is what each event looks up in the configuration in force, worked out once a version.
+// table holds lookups derived from the configuration in force, computed once for each version.
 type table struct {
 	services map[string]*service
 	classes  []lengthClass
-	// notes holds the counting effects by counter, so that counting allocates nothing.
+	// notes caches the effects that increment counters, by counter, so that counting allocates nothing.
 	notes map[string]effect.Effect
 }
 
-// service is a declared service with its defaults filled in.
+// service is a declared service with its defaults applied.
 type service struct {
 	decl.Service
 	discipline admit.Discipline
 }
 
-// lengthClass is a declared class with its place among the others.
+// lengthClass is a declared length class with its rank by priority.
 type lengthClass struct {
 	decl.LengthClass
-	// level counts the distinct lower priorities, above the higher ones.
-	level, above int
+	// level is the number of distinct priorities below that of this class.
+	level int
+	// above is the number of distinct priorities above that of this class.
+	above int
 }
 
 func newTable(cfg *decl.Config) table {
@@ -34,12 +36,12 @@
 		tb.services[name] = &service{Service: svc, discipline: admit.DisciplineOf(svc)}
 	}
 	for _, class := range cfg.Classes() {
-		tb.classes = append(tb.classes, placed(class, cfg.Classes()))
+		tb.classes = append(tb.classes, rankClass(class, cfg.Classes()))
 	}
 	return tb
 }
 
-func placed(class decl.LengthClass, all []decl.LengthClass) lengthClass {
+func rankClass(class decl.LengthClass, all []decl.LengthClass) lengthClass {
 	lower, higher := map[int]bool{}, map[int]bool{}
 	for _, other := range all {
 		if other.Priority < class.Priority {
@@ -52,7 +54,7 @@
 	return lengthClass{LengthClass: class, level: len(lower), above: len(higher)}
 }
 
-// classOf returns the class of a prompt and false if the prompt is longer than every class allows.
+// classOf returns the length class of a prompt, or the last class and false if the prompt is longer than any class allows.
 func (tb *table) classOf(tokens int64) (lengthClass, bool) {
 	for _, class := range tb.classes {
 		if tokens <= class.MaxTokens {
@@ -62,7 +64,7 @@
 	return tb.classes[len(tb.classes)-1], false
 }
 
-// undeclared stands for a service that the configuration dropped while requests for it were under way.
+// undeclared replaces a service that a configuration removed while requests for it were under way.
 var undeclared = &service{Service: decl.Service{}.WithDefaults(), discipline: admit.Priority{}}
 
 func (st *State) service(req *Request) *service {
@@ -82,13 +84,13 @@
 	st.emit(note)
 }
 
-// countReason counts under the prefix and the reason. The names are few, so they are put together once.
+// countReason increments the counter named by the prefix and the reason. It caches the few names that this gives.
 func (st *State) countReason(prefix string, reason effect.Reason) {
 	key := reasonKey{prefix, reason}
-	counter, ok := st.reasons[key]
+	counter, ok := st.reasonCounters[key]
 	if !ok {
 		counter = prefix + string(reason)
-		st.reasons[key] = counter
+		st.reasonCounters[key] = counter
 	}
 	st.count(counter)
 }
--- a/internal/effect/effect.go
+++ b/internal/effect/effect.go
@@ -1,5 +1,5 @@
-// Package effect defines the outputs of an instance's reducers as data. The shell carries them out and reports what
-// came of it as events.
+// Package effect defines the outputs of an instance's reducers as data. The shell performs them and reports their results
+// as events.
 package effect
 
 import (
@@ -9,33 +9,33 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// Effect is one thing the shell is told to do.
+// Effect is one action for the shell to perform.
 type Effect interface{ isEffect() }
 
-// Send starts an attempt at an upstream. An event.AttemptEnded follows, always.
+// Send starts an attempt: it sends a request to an upstream. An event.AttemptEnded always follows.
 type Send struct {
 	ID      event.RequestID
 	Attempt int
-	// Upstreams has one replica, or several in the order in which a prompt's segments are prefilled.
+	// Upstreams has one replica, or several in the order in which they prefill the prompt's segments.
 	Upstreams []event.Upstream
-	// Offset is the first token of the answer still wanted.
+	// Offset is the index of the first token of the answer that the caller does not have yet.
 	Offset int64
-	// Priority is passed on to the engine; a higher one goes first.
+	// Priority is passed on to the engine, which runs requests of higher priority first.
 	Priority int
-	// Permit names the reservation, empty for short prompts.
+	// Permit is the name of the reservation, empty for prompts sent without one.
 	Permit string
-	// Fresh asks for a connection of its own, because an older one may be silent or the request must not be repeated
-	// by the transport.
+	// Fresh asks for a new connection, because a reused one may be silent or because the transport must not repeat the
+	// request.
 	Fresh bool
-	// Deadline is when the attempt must have ended.
+	// Deadline is the time by which the attempt must have ended.
 	Deadline time.Time
-	// Silence is the longest time without progress.
+	// Silence is the maximum time without progress.
 	Silence time.Duration
-	// FirstSilence is the longest time without progress before the first byte of the answer; 0 means Silence.
+	// FirstSilence is the maximum time without progress before the first byte of the answer; 0 means Silence.
 	FirstSilence time.Duration
 }
 
-// Abort ends an attempt; its event.AttemptEnded carries ResultCancelled if nothing else came first.
+// Abort ends an attempt. Its event.AttemptEnded carries ResultCancelled unless the attempt has already ended otherwise.
 type Abort struct {
 	ID      event.RequestID
 	Attempt int
@@ -44,59 +44,71 @@
 // Finish ends a request that has no attempt under way. Exactly one Finish follows each event.Arrived.
 type Finish struct {
 	ID event.RequestID
-	// Refusal is nil when the caller already has its whole answer or has gone.
+	// Refusal is nil if the caller has the complete answer or has disconnected, and if Replay is set.
 	Refusal *Refusal
-	// Replay is set when the recorded outcome of an earlier run answers the caller.
+	// Replay is the recorded outcome of an earlier run with which to answer the caller, nil if there is none.
 	Replay *event.Outcome
 }
 
-// Ran says what is known of a refused or failed request.
+// Ran states whether a refused or failed request ran.
 type Ran string
 
-// What is known of a request that was not answered.
 const (
-	// NotRun means that no upstream ran any of it, nor ever will.
+	// NotRun means that no upstream ran any of the request or ever will.
 	NotRun Ran = "NotRun"
-	// HasRun means that an upstream ran some or all of it.
+	// HasRun means that an upstream ran some or all of the request.
 	HasRun Ran = "Ran"
-	// Unknown means that it may have run or may yet run.
+	// Unknown means that the request may have run or may still run.
 	Unknown Ran = "Unknown"
 )
 
-// Reason is why a request was refused or failed.
+// Reason is the reason why a request was refused or failed.
 type Reason string
 
-// The reasons.
 const (
-	ReasonLimit        Reason = "LimitExceeded"
-	ReasonBusy         Reason = "Overloaded"
-	ReasonDeadline     Reason = "DeadlineExceeded"
-	ReasonTooLong      Reason = "PromptTooLong"
-	ReasonNoUpstream   Reason = "NoUpstream"
-	ReasonUpstream     Reason = "UpstreamFailed"
-	ReasonQuarantine   Reason = "Quarantined"
-	ReasonKeyReused    Reason = "IdempotencyKeyReused"
-	ReasonKeyRunning   Reason = "IdempotencyKeyRunning"
-	ReasonClaim        Reason = "ClaimUnavailable"
-	ReasonDraining     Reason = "Draining"
+	// ReasonLimit means that the organisation has reached one of its limits.
+	ReasonLimit Reason = "LimitExceeded"
+	// ReasonBusy means that the work ahead of the request takes too long, or that no memory can be reserved for it.
+	ReasonBusy Reason = "Overloaded"
+	// ReasonDeadline means that the deadline has passed or is too early for the request.
+	ReasonDeadline Reason = "DeadlineExceeded"
+	// ReasonTooLong means that the prompt exceeds every length class, or that prompt and answer exceed one engine's memory.
+	ReasonTooLong Reason = "PromptTooLong"
+	// ReasonNoUpstream means that no replica of the service is live, or that a granted engine has left.
+	ReasonNoUpstream Reason = "NoUpstream"
+	// ReasonUpstream means that an attempt failed and that the request is not retried.
+	ReasonUpstream Reason = "UpstreamFailed"
+	// ReasonQuarantine means that requests of the same content have crashed upstreams.
+	ReasonQuarantine Reason = "Quarantined"
+	// ReasonKeyReused means that the idempotency key was used before with different content.
+	ReasonKeyReused Reason = "IdempotencyKeyReused"
+	// ReasonKeyRunning means that the first request with the idempotency key may still be running.
+	ReasonKeyRunning Reason = "IdempotencyKeyRunning"
+	// ReasonClaim means that the idempotency key could not be recorded.
+	ReasonClaim Reason = "ClaimUnavailable"
+	// ReasonDraining means that the instance is shutting down.
+	ReasonDraining Reason = "Draining"
+	// ReasonUnknownModel means that no service is declared under the requested name.
 	ReasonUnknownModel Reason = "UnknownModel"
-	ReasonOutcome      Reason = "OutcomeUnknown"
-	ReasonAnswerGone   Reason = "AnswerNotKept"
-	// ReasonRejected means that the upstream found the request itself wrong; another replica would too.
+	// ReasonOutcome means that the request may have run and that its outcome is not known.
+	ReasonOutcome Reason = "OutcomeUnknown"
+	// ReasonAnswerGone means that the first request with the idempotency key was answered and its answer was not kept.
+	ReasonAnswerGone Reason = "AnswerNotKept"
+	// ReasonRejected means that the upstream rejected the request as invalid, as any other replica would.
 	ReasonRejected Reason = "RejectedUpstream"
 )
 
-// Refusal is what the caller is told instead of an answer.
+// Refusal is the failure that the caller receives instead of an answer.
 type Refusal struct {
 	Reason Reason
 	Ran    Ran
-	// RetryAfter tells when a new try makes sense, 0 if never or unknown.
+	// RetryAfter is the delay before a retry makes sense, 0 if never or unknown.
 	RetryAfter time.Duration
-	// Remedy says in a sentence what the caller can do.
+	// Remedy describes in a sentence what the caller can do.
 	Remedy string
 }
 
-// Claim records an idempotency key before its request is sent. An event.ClaimSettled follows, always.
+// Claim records an idempotency key before its request is sent. An event.ClaimSettled always follows.
 type Claim struct {
 	ID           event.RequestID
 	Organisation string
@@ -106,33 +118,33 @@
 	Deadline     time.Time
 }
 
-// RecordOutcome tells the claims what became of a claimed request.
+// RecordOutcome records the outcome of a claimed request.
 type RecordOutcome struct {
 	ID           event.RequestID
 	Organisation string
 	Service      string
 	Key          string
 	Digest       event.Digest
-	// Release drops the claim: the request was certainly not run, and a resend may try again.
+	// Release drops the claim: the request certainly did not run, and a resend may run it.
 	Release bool
-	// Unknown records that the end is not known.
+	// Unknown records that the outcome is not known.
 	Unknown bool
 }
 
-// AskPermit asks the pool's coordinator for a reservation. An event.PermitAnswered follows, always.
+// AskPermit asks the pool's coordinator for a reservation. An event.PermitAnswered always follows.
 type AskPermit struct {
 	ID            event.RequestID
 	Service       string
 	FailureDomain string
 	Organisation  string
-	// Tokens is the memory wanted, prompt and answer together.
+	// Tokens is the KV memory to reserve, prompt and answer together.
 	Tokens   int64
 	Class    string
 	Priority int
 	Deadline time.Time
 }
 
-// ReleasePermit gives a reservation back.
+// ReleasePermit releases a reservation.
 type ReleasePermit struct {
 	ID            event.RequestID
 	Service       string
@@ -140,48 +152,52 @@
 	Permit        string
 }
 
-// TellQuarantine passes a quarantine on to all peers.
+// TellQuarantine sends a quarantine entry to all peers.
 type TellQuarantine struct{ Quarantined event.Quarantined }
 
-// TellDemand tells the instance that shares out the organisations' limits what they ask for here. It may be lost.
+// TellDemand sends this instance's demands to the instance that divides the organisations' limits. It may be lost.
 type TellDemand struct {
 	To      event.Instance
 	Demands []event.Demand
 }
 
-// TellShares tells an instance its parts of organisations' limits. It may be lost.
+// TellShares sends an instance its shares of organisations' limits. It may be lost.
 type TellShares struct {
 	To     event.Instance
 	Shares []event.Share
 }
 
-// PermitMark parts the name of a permit into its request's name and the number of the attempt.
+// PermitMark separates the request's name from the number of the attempt in the name of a permit.
 const PermitMark = "~"
 
 // Sweep frees what engines still hold for a request whose holder died.
 type Sweep struct {
+	// Request is the name of the permit.
 	Request   string
 	Upstreams []event.Upstream
 }
 
-// Tell sends a message to the peer address of another instance. It may be lost; who needs an answer tells again.
+// Tell sends a message to the peer address of another instance. It may be lost; a sender that needs an answer has to
+// repeat it.
 type Tell struct {
 	Address string
 	Message wire.Message
 }
 
-// CloseIdle closes the idle connections to an upstream, because one of them went silent.
+// CloseIdle closes the idle connections to an upstream after one of its connections stopped making progress.
 type CloseIdle struct {
 	Upstream string
-	// Address is the upstream's, which names its connections.
+	// Address is the upstream's address, which identifies its connections.
 	Address string
 }
 
-// Note counts something under a metric name and, when Line is set, logs a change of state.
+// Note increments a counter and, if Line is set, logs a change of state.
 type Note struct {
+	// Counter is the name of the metric.
 	Counter string
-	Line    string
-	// Subject is what the line is about, an upstream or an organisation.
+	// Line is the log message, empty for none.
+	Line string
+	// Subject is the upstream or organisation that the log message is about.
 	Subject string
 }
 
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,5 +1,5 @@
-// Package event defines the inputs of an instance's reducers. Every decision follows from an event and the time the
-// shell stamped it with; a reducer itself reads no clock and does no I/O.
+// Package event defines the inputs of an instance's reducers. A reducer decides only from an event and the time that the
+// shell passes with it; it reads no clock and does no I/O itself.
 package event
 
 import (
@@ -11,70 +11,70 @@
 // Event is one input of the reducers.
 type Event interface{ isEvent() }
 
-// RequestID names a request within one run of one instance.
+// RequestID identifies a request within one run of one instance.
 type RequestID uint64
 
 // Digest is the SHA-256 digest of a request: method, path and body.
 type Digest [32]byte
 
-// Arrived tells that a caller's request has been read and authenticated.
+// Arrived reports that a caller's request has been read and authenticated.
 type Arrived struct {
 	ID           RequestID
 	Organisation string
 	Service      string
-	// Model is what the caller named, empty for plain services.
+	// Model is the model that the caller asked for, empty for plain services.
 	Model string
 	// PromptTokens is estimated from the length of the body; 0 for plain services.
 	PromptTokens int64
-	// MaxTokens bounds the answer.
+	// MaxTokens is the maximum length of the answer in tokens.
 	MaxTokens int64
-	// Deadline is when the caller must have its end, answer or failure.
+	// Deadline is the time by which the caller must have the complete answer or a failure.
 	Deadline time.Time
-	// Idempotent requests may be sent again after a failure.
+	// Idempotent reports whether the request may be sent again after a failure.
 	Idempotent bool
-	// Key is the caller's idempotency key, empty if it gave none.
+	// Key is the caller's idempotency key, empty if the caller sent none.
 	Key string
-	// Digest identifies the content, for claims and quarantine.
+	// Digest identifies the request's content, for claims and quarantine.
 	Digest Digest
 	// Prefixes are hashes of the prompt's leading blocks, shortest first, for prefix affinity.
 	Prefixes []uint64
 }
 
-// CallerGone tells that the caller closed its connection.
+// CallerGone reports that the caller closed its connection.
 type CallerGone struct{ ID RequestID }
 
-// Answering tells that the first byte of an answer came from upstream.
+// Answering reports that the first byte of an answer arrived from the upstream.
 type Answering struct {
 	ID      RequestID
 	Attempt int
 }
 
-// AttemptEnded tells how one attempt at an upstream ended.
+// AttemptEnded reports the result of one attempt to send a request to an upstream.
 type AttemptEnded struct {
 	ID       RequestID
 	Attempt  int
 	Upstream string
 	Result   Result
-	// Offset is how many tokens of the answer were passed on whole so far, over all attempts.
+	// Offset is the number of complete tokens of the answer passed on to the caller so far, over all attempts.
 	Offset int64
-	// RetryAfter is the upstream's own advice, 0 if it gave none.
+	// RetryAfter is the delay that the upstream asked for, 0 if it asked for none.
 	RetryAfter time.Duration
-	// Status is the upstream's HTTP status, 0 if none came.
+	// Status is the upstream's HTTP status, 0 if none was received.
 	Status int
-	// Alive tells that the upstream took a new connection after it broke this one off, so that it did not die of it.
+	// Alive reports that the upstream accepted a new connection after it had closed the attempt's connection, so that the
+	// request did not crash it.
 	Alive bool
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt.
 type Result int
 
-// The results of an attempt.
 const (
-	// ResultDone is a whole answer with its end marker.
+	// ResultDone is a complete answer with its end marker.
 	ResultDone Result = iota + 1
 	// ResultNotSent is a failure before any byte of the request could have left.
 	ResultNotSent
-	// ResultNotRun is a refusal by an upstream that says it ran nothing.
+	// ResultNotRun is a refusal by an upstream that reports that it ran nothing.
 	ResultNotRun
 	// ResultFailed is a failure after bytes of the request may have left and before any of the answer.
 	ResultFailed
@@ -82,44 +82,50 @@
 	ResultBroken
 	// ResultSilent is an answer without progress for the service's ProgressTimeout.
 	ResultSilent
-	// ResultExpired is an attempt ended by the request's deadline.
+	// ResultExpired is an attempt that was ended by the request's deadline.
 	ResultExpired
-	// ResultCancelled is an attempt ended by the caller's leaving or by an effect.
+	// ResultCancelled is an attempt that was ended because the caller disconnected or by an effect.Abort.
 	ResultCancelled
 )
 
-// Load is an upstream's report of itself.
+// Load is the load that an upstream reports for itself.
 type Load struct {
-	// Running and Waiting count the requests.
+	// Running is the number of requests that the upstream runs.
 	Running int64
+	// Waiting is the number of requests in the upstream's queue.
 	Waiting int64
-	// QueuedTokens is the prompt work accepted and not yet prefilled.
+	// QueuedTokens is the number of prompt tokens accepted and not yet prefilled.
 	QueuedTokens int64
-	// UsedTokens and MemoryTokens describe the KV memory.
-	UsedTokens   int64
+	// UsedTokens is the part of the KV memory in use, in tokens.
+	UsedTokens int64
+	// MemoryTokens is the size of the KV memory in tokens.
 	MemoryTokens int64
 }
 
-// LoadReported brings an upstream's report, which lags.
+// LoadReported carries an upstream's load report, which is always somewhat out of date.
 type LoadReported struct {
 	Upstream string
-	// At is when the upstream measured it, by the shell's clock less the age that the upstream gave.
+	// At is the time of the measurement: the shell's clock minus the age that the upstream reported.
 	At   time.Time
 	Load Load
-	// Role, Models and Loading describe what the engine serves; empty for plain services.
-	Role    string
-	Models  []string
+	// Role is the engine's role, empty for plain services.
+	Role string
+	// Models are the models that the engine serves, empty for plain services.
+	Models []string
+	// Loading are the models that the engine is loading, empty for plain services.
 	Loading []string
 }
 
-// CacheChanged brings an engine's prefix cache events.
+// CacheChanged carries a batch of an engine's prefix cache events.
 type CacheChanged struct {
 	Upstream string
-	// First and Last are the sequence numbers of the batch; a gap to the one before means lost events.
-	First, Last int64
-	Added       []uint64
-	Removed     []uint64
-	// Cleared tells that the engine lost all of its cache.
+	// First is the sequence number of the batch's first event. A gap to the previous batch means that events were lost.
+	First int64
+	// Last is the sequence number of the batch's last event.
+	Last    int64
+	Added   []uint64
+	Removed []uint64
+	// Cleared reports that the engine lost its whole cache.
 	Cleared bool
 }
 
@@ -132,47 +138,47 @@
 	Leaving       bool
 }
 
-// UpstreamsListed brings the platform's list of replicas.
+// UpstreamsListed carries the platform's list of replicas.
 type UpstreamsListed struct{ Upstreams []Upstream }
 
-// Instance is an entry instance as the platform lists it or a peer knows it.
+// Instance is an entry instance as the platform or a peer lists it.
 type Instance struct {
 	Name    string
 	Address string
-	// Peer is where it hears its peers, over UDP.
+	// Peer is the UDP address at which the instance receives messages from its peers.
 	Peer          string
 	FailureDomain string
 	Leaving       bool
 }
 
-// InstancesListed brings the platform's list of entry instances.
+// InstancesListed carries the platform's list of entry instances.
 type InstancesListed struct{ Instances []Instance }
 
-// ConfigAccepted brings a version of the configuration; a version not above the one in force is ignored.
+// ConfigAccepted carries a version of the configuration. A version that is not higher than the one in force is ignored.
 type ConfigAccepted struct{ Config *decl.Config }
 
-// PermitAnswered brings the coordinator's answer to an effect.AskPermit.
+// PermitAnswered carries the coordinator's answer to an effect.AskPermit.
 type PermitAnswered struct {
 	ID      RequestID
 	Granted bool
-	// Upstreams are the engines granted, in the order in which segments are prefilled; the last one generates.
+	// Upstreams are the granted engines in the order in which they prefill the prompt's segments; the last one also
+	// generates the answer.
 	Upstreams []string
-	// Permit names the reservation at the coordinator.
+	// Permit is the name of the reservation at the coordinator.
 	Permit string
-	// Until is when the reservation ends.
+	// Until is the time at which the reservation expires.
 	Until time.Time
-	// RetryAfter advises when to ask again if not granted.
+	// RetryAfter is the delay before the next request for a permit if this one was not granted.
 	RetryAfter time.Duration
-	// Lost tells that the coordinator could not be reached.
+	// Lost reports that the coordinator could not be reached.
 	Lost bool
 }
 
-// ClaimResult is what became of a claim of an idempotency key.
+// ClaimResult is the result of claiming an idempotency key.
 type ClaimResult int
 
-// The results of a claim.
 const (
-	// ClaimWon means that the request may run, once, here.
+	// ClaimWon means that this instance may run the request, once.
 	ClaimWon ClaimResult = iota + 1
 	// ClaimRepeated means that the same request was claimed before; the recorded outcome applies.
 	ClaimRepeated
@@ -182,67 +188,70 @@
 	ClaimUnavailable
 )
 
-// Outcome is the recorded end of a claimed request.
+// Outcome is the recorded outcome of a claimed request.
 type Outcome struct {
-	// Known is false while the run is under way or its end is unknown.
+	// Known is false while the request is running and if its outcome is unknown.
 	Known bool
-	// Running is true while the first run may be under way.
+	// Running is true while the first run may still be under way.
 	Running bool
 	// Status is the upstream's HTTP status.
 	Status int
-	// Body is the start of the answer, kept up to a bound, with Truncated telling whether more came.
+	// Body is the start of the answer, kept up to a maximum length.
 	Body        []byte
 	ContentType string
-	Truncated   bool
+	// Truncated reports whether the answer was longer than Body.
+	Truncated bool
 }
 
-// ClaimSettled brings the result of an effect.Claim.
+// ClaimSettled carries the result of an effect.Claim.
 type ClaimSettled struct {
 	ID      RequestID
 	Result  ClaimResult
 	Outcome Outcome
 }
 
-// Quarantined tells that a digest took upstreams down, here or at a peer.
+// Quarantined reports that requests with this digest crashed upstreams, at this instance or at a peer.
 type Quarantined struct {
 	Digest Digest
-	// Deaths counts the upstreams that died with it in flight.
+	// Deaths is the number of upstreams that crashed while running such a request.
 	Deaths int
-	// Until is when the quarantine ends.
+	// Until is the time at which the entry expires.
 	Until time.Time
 }
 
-// Demand is what one organisation asks of one instance, as a part of its limits over the whole fleet: 1 for as much
-// as it may.
+// Demand is an organisation's demand at one instance, as a fraction of its limits for the whole fleet.
 type Demand struct {
 	_            struct{} `cbor:",toarray"`
 	Organisation string
-	Part         float32
+	// Part is the largest fraction of any of the limits: 1 is the whole limit, and a higher demand exceeds it.
+	Part float32
 }
 
-// Share is the part of an organisation's limits that one instance may use, from 0 to 1.
+// Share is the share of an organisation's limits that one instance may use.
 type Share struct {
 	_            struct{} `cbor:",toarray"`
 	Organisation string
-	Part         float32
+	// Part is a fraction from 0 to 1.
+	Part float32
 }
 
-// DemandHeard brings what organisations ask of another instance, to the one that shares out their limits.
+// DemandHeard carries another instance's demands to the instance that divides these organisations' limits.
 type DemandHeard struct {
 	From    string
 	Demands []Demand
 }
 
-// SharesHeard brings the parts of limits that this instance may use.
+// SharesHeard carries the shares of organisations' limits that this instance may use.
 type SharesHeard struct{ Shares []Share }
 
-// DrainStarted tells that this instance was asked to stop.
+// DrainStarted reports that this instance was asked to stop.
 type DrainStarted struct{}
 
-// Ticked lets time pass. The shell sends it as often as the reducer asks for, TickPeriod apart at the least.
+// Ticked reports that time has passed. The shell sends it after the delay that the reducer asks for, which is at least
+// TickPeriod.
 type Ticked struct{}
 
-// TickPeriod is the resolution of every timeout that a reducer keeps.
+// TickPeriod is the resolution of a reducer's timeouts.
 const TickPeriod = 5 * time.Millisecond
 
 func (Arrived) isEvent()         {}
--- a/internal/event/member.go
+++ b/internal/event/member.go
@@ -1,61 +1,62 @@
 package event
 
-// WordState is what a Word says.
+// WordState is the status that a Word reports.
 type WordState uint8
 
-// The states, in the order in which one takes the place of another of the same incarnation.
+// The states in order of precedence: a later one replaces an earlier one of the same incarnation.
 const (
-	// WordAlive comes from the member itself.
+	// WordAlive is sent by the member itself.
 	WordAlive WordState = iota + 1
-	// WordSuspect tells that a member did not answer; it can refute that with a higher incarnation.
+	// WordSuspect reports that a member did not answer a probe. The member can refute it with a higher incarnation.
 	WordSuspect
-	// WordLeaving comes from a member that is on its way out.
+	// WordLeaving is sent by a member that is shutting down.
 	WordLeaving
-	// WordDead tells that a suspected member did not refute in time, or that a leaving one answers no more.
+	// WordDead reports that a suspected member did not refute the suspicion in time, or that a leaving member no longer
+	// answers.
 	WordDead
-	// WordUpstreamLeaving passes on that the platform lists an upstream as leaving.
+	// WordUpstreamLeaving reports that the platform lists an upstream as leaving.
 	WordUpstreamLeaving
 )
 
-// Word is news of one instance or upstream, passed from instance to instance.
+// Word is a gossiped status update about one instance or upstream.
 type Word struct {
 	_     struct{} `cbor:",toarray"`
 	Name  string
 	State WordState
-	// Incarnation orders the words about one name; only the named instance raises it. For an upstream it is a hash of
-	// its address, so that the word does not stick to a later upstream of the name.
+	// Incarnation orders the updates about one name; only the named instance raises it. For an upstream it is a hash of
+	// its address, so that the update does not apply to a later upstream of the same name.
 	Incarnation uint64
 }
 
-// Probed brings a probe of another instance, or its wish to have a third one probed.
+// Probed carries another instance's probe of this one, or its request to probe a third instance on its behalf.
 type Probed struct {
 	_    struct{} `cbor:",toarray"`
 	From string
-	// Peer is where the answer goes.
+	// Peer is the address to which the answer is sent.
 	Peer string
 	Seq  uint64
-	// For names the instance to probe, empty for the one that hears this.
+	// For is the name of the instance to probe, empty for the receiver.
 	For   string
 	Words []Word
 }
 
-// ProbeAcked brings the answer to a probe.
+// ProbeAcked carries the answer to a probe.
 type ProbeAcked struct {
 	_ struct{} `cbor:",toarray"`
-	// From is who was probed, also if another instance passes its answer on.
+	// From is the instance that was probed, also if another instance forwards its answer.
 	From  string
 	Seq   uint64
 	Words []Word
 }
 
-// Gossiped brings news that could not wait for the next probe.
+// Gossiped carries updates that are sent without waiting for the next probe.
 type Gossiped struct {
 	_     struct{} `cbor:",toarray"`
 	From  string
 	Words []Word
 }
 
-// PeerOpened tells at which address this instance hears its peers.
+// PeerOpened carries the address at which this instance receives messages from its peers.
 type PeerOpened struct{ Address string }
 
 func (PeerOpened) isEvent() {}
--- a/internal/event/permit.go
+++ b/internal/event/permit.go
@@ -2,53 +2,56 @@
 
 import "time"
 
-// PermitAsked brings the wish of an instance for a reservation, or its word on one that it holds already. It may come
+// PermitAsked carries an instance's request for a reservation, or its report of one that it already holds. It may arrive
 // more than once.
 type PermitAsked struct {
 	_ struct{} `cbor:",toarray"`
-	// Holder is the instance that asks and Incarnation its run.
-	Holder      string
+	// Holder is the name of the requesting instance.
+	Holder string
+	// Incarnation identifies the run of the requesting instance.
 	Incarnation uint64
-	// Peer is where the answer goes.
+	// Peer is the address to which the answer is sent.
 	Peer string
-	// Request names the request over all instances and runs, and so its permit.
+	// Request is the name of the request, unique over all instances and runs, and also the name of its permit.
 	Request       string
 	Service       string
 	FailureDomain string
 	Organisation  string
-	// Weight is the organisation's share under contention.
+	// Weight is the organisation's weight under contention.
 	Weight float64
-	// Tokens is the memory wanted, prompt and answer together.
+	// Tokens is the KV memory to reserve, prompt and answer together.
 	Tokens   int64
 	Class    string
 	Priority int
-	// Wait is how long the asker can wait from now on, Waited how long it has.
-	Wait   time.Duration
+	// Wait is how much longer the request can wait.
+	Wait time.Duration
+	// Waited is how long the request has waited so far.
 	Waited time.Duration
-	// Upstreams are set if the permit was granted before, by another coordinator or another run of this one.
+	// Upstreams is set if the permit was granted before, by another coordinator or another run of this one.
 	Upstreams []string
 }
 
-// PermitGranted brings a coordinator's answer to a PermitAsked.
+// PermitGranted carries a coordinator's answer to a PermitAsked.
 type PermitGranted struct {
 	_ struct{} `cbor:",toarray"`
-	// From is the coordinator.
+	// From is the name of the coordinator.
 	From          string
 	Request       string
 	Service       string
 	FailureDomain string
-	// Granted tells that the memory is reserved; Queued that the answer will follow. If neither is set, the pool can
-	// never hold the request.
-	Granted   bool
+	// Granted reports that the memory is reserved. If neither Granted nor Queued is set, the pool can never hold the
+	// request.
+	Granted bool
+	// Queued reports that the request waits in the coordinator's queue and that the answer will follow.
 	Queued    bool
 	Upstreams []string
-	// Lasts is how long the reservation stands without being renewed.
+	// Lasts is the time after which the reservation expires if it is not renewed.
 	Lasts time.Duration
-	// RetryAfter advises when to ask again if the pool cannot hold the request.
+	// RetryAfter is the delay before the next request for a permit if the pool cannot hold the request.
 	RetryAfter time.Duration
 }
 
-// PermitReturned gives a reservation or a place in the queue back.
+// PermitReturned releases a reservation or a place in the coordinator's queue.
 type PermitReturned struct {
 	_             struct{} `cbor:",toarray"`
 	Request       string
@@ -56,7 +59,7 @@
 	FailureDomain string
 }
 
-// PermitRenewed brings the requests for which an instance still waits or holds memory.
+// PermitRenewed carries the requests for which an instance holds memory or still waits for it.
 type PermitRenewed struct {
 	_             struct{} `cbor:",toarray"`
 	Holder        string
@@ -64,16 +67,17 @@
 	Peer          string
 	Service       string
 	FailureDomain string
-	// Requests are those held, Waiting those for which no grant has come yet.
+	// Requests are the requests that hold a reservation.
 	Requests []string
-	Waiting  []string
+	// Waiting are the requests that have not been granted one yet.
+	Waiting []string
 }
 
-// PermitsKnown answers a PermitRenewed.
+// PermitsKnown carries a coordinator's answer to a PermitRenewed.
 type PermitsKnown struct {
 	_    struct{} `cbor:",toarray"`
 	From string
-	// Unknown names the requests that the coordinator has nothing about.
+	// Unknown are the requests of which the coordinator has no record.
 	Unknown []string
 }
 
