--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -8,7 +8,7 @@
 	"dandelionsail.example/dandelionsail/internal/upstr"
 )
 
-// answer puts a streamed answer together for a caller that wants it whole.
+// answer assembles the chunks of a streamed answer for a caller that did not ask for a stream.
 type answer struct {
 	text   bytes.Buffer
 	id     string
@@ -34,11 +34,11 @@
 	Usage   json.RawMessage `json:"usage"`
 }
 
-// add takes one chunk.
+// add appends one chunk to the answer.
 func (an *answer) add(data []byte) error {
 	var doc chunkDocument
 	if err := json.Unmarshal(data, &doc); err != nil {
-		return upstr.Failed.Wrap(err, "entry: the upstream sent a chunk that is no JSON")
+		return upstr.Failed.Wrap(err, "entry: a chunk of the upstream's answer is not valid JSON")
 	}
 	an.id = doc.ID
 	an.model = doc.Model
@@ -75,7 +75,7 @@
 	Usage   json.RawMessage `json:"usage,omitempty"`
 }
 
-// write gives the caller the whole answer.
+// write sends the assembled answer to the caller as one JSON document.
 func (an *answer) write(cl *call) {
 	doc := wholeDocument{ID: an.id, Object: "text_completion", Model: an.model, Usage: an.usage}
 	choice := wholeChoice{FinishReason: an.finish}
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -17,35 +17,36 @@
 	"dandelionsail.example/dandelionsail/internal/upstr"
 )
 
-// dropTime bounds how long an attempt that went silent waits for its engine to free the request.
-const dropTime = 500 * time.Millisecond
+// dropTimeout bounds one call that asks an engine to free a request: after an attempt that ended because the upstream was
+// silent, and for the prefill segments of an attempt that ended.
+const dropTimeout = 500 * time.Millisecond
 
-// attempt sends the request to an upstream and passes its answer on. It returns how that ended.
+// attempt sends the request to an upstream, forwards the answer to the caller and returns how the attempt ended.
 func (in *Instance) attempt(cl *call, eff effect.Send) event.AttemptEnded {
 	ctx, cancel := cl.begin(eff)
 	defer cancel()
-	watched, silence := context.WithCancelCause(ctx)
-	defer silence(nil)
+	watched, cancelWatched := context.WithCancelCause(ctx)
+	defer cancelWatched(nil)
 	last := eff.Upstreams[len(eff.Upstreams)-1]
 	ended := event.AttemptEnded{ID: cl.id, Attempt: eff.Attempt, Upstream: last.Name}
 	var err error
 	if cl.body != nil {
-		err = in.stream(watched, cl, eff, silence, &ended)
+		err = in.stream(watched, cl, eff, cancelWatched, &ended)
 	} else {
-		err = in.exchange(watched, cl, eff, silence, &ended)
+		err = in.exchange(watched, cl, eff, cancelWatched, &ended)
 	}
 	ended.Offset = cl.offset
-	ended.Result = result(ctx, watched, err, cl)
-	ended.RetryAfter = advice(err)
-	if refused := status(err); refused != 0 {
+	ended.Result = attemptResult(ctx, watched, err, cl)
+	ended.RetryAfter = retryAfter(err)
+	if refused := refusalStatus(err); refused != 0 {
 		ended.Status = refused
 		ended.Alive = true
 	}
-	in.aftermath(ctx, cl, upstreamOf(eff, ended.Upstream), &ended)
+	in.handleUpstreamFailure(ctx, cl, upstreamOf(eff, ended.Upstream), &ended)
 	return ended
 }
 
-// upstreamOf finds the upstream of the attempt that has the name.
+// upstreamOf returns the upstream of the attempt with the given name, or the attempt's last one if none has it.
 func upstreamOf(eff effect.Send, name string) event.Upstream {
 	for _, up := range eff.Upstreams {
 		if up.Name == name {
@@ -55,32 +56,34 @@
 	return eff.Upstreams[len(eff.Upstreams)-1]
 }
 
-// aftermath looks after an upstream that broke off or went silent.
-func (in *Instance) aftermath(ctx context.Context, cl *call, up event.Upstream, ended *event.AttemptEnded) {
+// handleUpstreamFailure checks whether an upstream that failed or broke off is still alive, and asks a silent engine to free
+// the request.
+func (in *Instance) handleUpstreamFailure(ctx context.Context, cl *call, up event.Upstream, ended *event.AttemptEnded) {
 	switch ended.Result {
 	case event.ResultFailed, event.ResultBroken:
-		// A connection also ends by an idle timeout or a restart of what lies between. Only deaths count towards a
-		// quarantine.
+		// Idle timeouts and restarts of something on the path close connections too. Only the death of the upstream's
+		// process counts towards a quarantine of the request.
 		ended.Alive = ended.Alive || !in.upstream.Died(ctx, up.Address)
 	case event.ResultSilent:
 		if cl.body == nil {
 			return
 		}
-		// The engine does not see a silent connection end, and would keep the request's memory to the end of its answer.
-		limited, cancel := context.WithTimeout(ctx, dropTime)
+		// The engine does not notice that a silent connection was closed. Without the call it would keep the request's
+		// memory until it has generated the whole answer.
+		limited, cancel := context.WithTimeout(ctx, dropTimeout)
 		defer cancel()
 		_ = in.upstream.Drop(limited, up.Address, cl.name)
 	}
 }
 
-// upstreamCall is what both kinds of call have in common.
+// upstreamCall returns the fields that calls to engines and to plain services share.
 func (cl *call) upstreamCall(eff effect.Send) upstr.Call {
 	return upstr.Call{
 		Address:     eff.Upstreams[len(eff.Upstreams)-1].Address,
 		Request:     cl.name,
 		Method:      cl.req.Method,
 		Path:        cl.req.URL.RequestURI(),
-		Header:      forwarded(cl.req.Header),
+		Header:      forwardedHeader(cl.req.Header),
 		Offset:      eff.Offset,
 		Priority:    eff.Priority,
 		Reservation: eff.Permit,
@@ -88,36 +91,38 @@
 	}
 }
 
-// setAnew are the headers that an instance does not pass on, beside those of one connection.
-var setAnew = []string{"Authorization", HeaderDeadline}
+// strippedHeaders are the end-to-end headers that an instance does not forward. Hop-by-hop headers are removed as well.
+var strippedHeaders = []string{"Authorization", HeaderDeadline}
 
-// ownHeaders are said by an instance to an engine and by nobody else. Passed on from a caller they would let it read
-// another organisation's exported cache, skip the start of its answer or go before all others.
-var ownHeaders = []string{
+// internalHeaders are headers that only an instance may send to an engine. If they were forwarded from a caller, the caller
+// could read another organisation's exported cache, skip the start of its answer or get a higher priority than all others.
+var internalHeaders = []string{
 	upstr.HeaderRequest, upstr.HeaderPriority, upstr.HeaderOffset, upstr.HeaderImports, upstr.HeaderSegment,
 	upstr.HeaderReservation, upstr.HeaderFence, upstr.HeaderRun,
 }
 
-func forwarded(header http.Header) http.Header {
+// forwardedHeader returns a copy of the header without the fields that are not forwarded.
+func forwardedHeader(header http.Header) http.Header {
 	kept := hops.Kept(header)
-	for _, name := range slices.Concat(setAnew, ownHeaders) {
+	for _, name := range slices.Concat(strippedHeaders, internalHeaders) {
 		kept.Del(name)
 	}
 	return kept
 }
 
-// stream passes a model's answer on, chunk by chunk.
-func (in *Instance) stream(ctx context.Context, cl *call, eff effect.Send, silence context.CancelCauseFunc, ended *event.AttemptEnded) error {
+// stream forwards a model's answer chunk by chunk. If the attempt has several upstreams, all but the last one prefill
+// segments of the prompt first.
+func (in *Instance) stream(ctx context.Context, cl *call, eff effect.Send, cancel context.CancelCauseFunc, ended *event.AttemptEnded) error {
 	var imports []string
 	if len(eff.Upstreams) > 1 {
 		defer in.freeSegments(eff)
-		handles, err := in.prefill(ctx, cl, eff, silence, ended)
+		handles, err := in.prefill(ctx, cl, eff, cancel, ended)
 		if err != nil {
 			return err
 		}
 		imports = handles
 	}
-	wd := watch(silence, eff.FirstSilence, eff.Silence)
+	wd := startWatchdog(cancel, eff.FirstSilence, eff.Silence)
 	defer wd.stop()
 	up := cl.upstreamCall(eff)
 	up.Imports = imports
@@ -127,8 +132,8 @@
 		wd.progress()
 	}
 	if _, ok := in.heartbeats.Load(up.Address); ok {
-		// An engine that says when it is at work is silent when it does not.
-		wd.expect(eff.Silence)
+		// This engine sends heartbeats while it works, so the shorter limit applies to the first sign of progress too.
+		wd.shortenLimit(eff.Silence)
 	}
 	answer, err := in.upstream.Complete(ctx, up)
 	if err != nil {
@@ -139,36 +144,38 @@
 	for {
 		chunk, err := answer.Next()
 		if err == io.EOF {
-			return cl.end()
+			return cl.finishAnswer()
 		}
 		if err != nil {
 			return err
 		}
 		if !answering {
 			answering = true
-			in.answering(cl)
+			in.notifyAnswerStarted(cl)
 		}
-		wd.hold()
-		if err := cl.pass(chunk, answer.Buffered()); err != nil {
+		wd.suspend()
+		if err := cl.forwardChunk(chunk, answer.Buffered()); err != nil {
 			return err
 		}
 		wd.progress()
 	}
 }
 
-// answering notes that the attempt's answer has begun.
-func (in *Instance) answering(cl *call) {
+// notifyAnswerStarted records when the answer began, unless an earlier attempt has begun it, and reports to the reducer that
+// this attempt's answer has begun.
+func (in *Instance) notifyAnswerStarted(cl *call) {
 	if cl.firstAt.IsZero() {
 		cl.firstAt = time.Now()
 	}
 	in.loop.Submit(event.Answering{ID: cl.id, Attempt: cl.attempt})
 }
 
-// errCaller tells that the caller's connection broke.
-var errCaller = errors.New("entry: the caller's connection broke")
+// errCallerWrite means that a write to the caller failed, because its connection broke or the write deadline passed.
+var errCallerWrite = errors.New("entry: the answer cannot be written to the caller")
 
-// pass gives the caller one chunk; more tells that another follows at once.
-func (cl *call) pass(chunk upstr.Chunk, more bool) error {
+// forwardChunk writes one chunk to the caller, or adds it to the assembled answer if the caller did not ask for a stream. If
+// more is set, the next chunk is available already and the write is not flushed.
+func (cl *call) forwardChunk(chunk upstr.Chunk, more bool) error {
 	cl.offset = chunk.Offset + 1
 	if !cl.body.Stream {
 		return cl.answer.add(chunk.Data)
@@ -178,54 +185,56 @@
 	cl.line = append(cl.line, chunk.Data...)
 	cl.line = append(cl.line, "\n\n"...)
 	if _, err := cl.w.Write(cl.line); err != nil {
-		return errCaller
+		return errCallerWrite
 	}
 	if more {
 		return nil
 	}
 	cl.lastAt = time.Now()
 	if err := cl.control.Flush(); err != nil {
-		return errCaller
+		return errCallerWrite
 	}
 	return nil
 }
 
+// startStream sends the status and header of a streamed answer, unless they were sent before.
 func (cl *call) startStream() {
-	if cl.headerOut {
+	if cl.headerSent {
 		return
 	}
-	cl.headerOut = true
+	cl.headerSent = true
 	header := cl.w.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
 	cl.w.WriteHeader(http.StatusOK)
 }
 
-// end passes the end marker on, which the caller sees only after a whole answer.
-func (cl *call) end() error {
+// finishAnswer sends the end marker to a caller that asked for a stream. The caller gets it only after a complete answer.
+func (cl *call) finishAnswer() error {
 	cl.lastAt = time.Now()
 	if !cl.body.Stream {
 		return nil
 	}
 	cl.startStream()
 	if _, err := cl.w.Write([]byte("data: [DONE]\n\n")); err != nil {
-		return errCaller
+		return errCallerWrite
 	}
 	return nil
 }
 
-// exchange passes a plain service's answer on.
-func (in *Instance) exchange(ctx context.Context, cl *call, eff effect.Send, silence context.CancelCauseFunc, ended *event.AttemptEnded) error {
-	// How long a plain call takes is the service's affair, so it has until its deadline. A connection that was kept
-	// from an earlier call may have gone silent, so on one the answer must begin in time; the retry uses a new one.
-	wd := watch(silence, time.Until(eff.Deadline), eff.Silence)
+// exchange sends a call to a plain service and forwards its answer.
+func (in *Instance) exchange(ctx context.Context, cl *call, eff effect.Send, cancel context.CancelCauseFunc, ended *event.AttemptEnded) error {
+	// How long a call takes depends on the plain service, so its answer may begin as late as the deadline. A connection
+	// that is reused from an earlier call may have gone silent, so there the answer must begin within eff.Silence; the
+	// retry uses a new connection.
+	wd := startWatchdog(cancel, time.Until(eff.Deadline), eff.Silence)
 	defer wd.stop()
 	up := cl.upstreamCall(eff)
 	up.Body = bytes.NewReader(cl.raw)
 	up.Length = int64(len(cl.raw))
 	up.Connected = func(reused bool) {
 		if reused {
-			wd.expect(eff.Silence)
+			wd.shortenLimit(eff.Silence)
 		}
 	}
 	resp, err := in.upstream.Do(ctx, up)
@@ -239,38 +248,39 @@
 			WithProperty(upstr.PropertyRetryAfter, upstr.RetryAfter(resp.Header))
 	}
 	wd.progress()
-	in.answering(cl)
+	in.notifyAnswerStarted(cl)
 	cl.startPlain(resp)
 	return cl.copyPlain(resp.Body, wd)
 }
 
-// startPlain gives the caller the status and header of a plain answer.
+// startPlain sends the status and header of a plain service's answer to the caller.
 func (cl *call) startPlain(resp *http.Response) {
 	header := cl.w.Header()
-	for name, values := range forwarded(resp.Header) {
+	for name, values := range forwardedHeader(resp.Header) {
 		header[name] = values
 	}
 	header.Set(HeaderRequestID, cl.name)
 	if resp.ContentLength >= 0 {
 		header.Set("Content-Length", resp.Header.Get("Content-Length"))
 	}
-	cl.headerOut = true
+	cl.headerSent = true
 	cl.outcome.Start(resp.StatusCode, resp.Header.Get("Content-Type"))
 	cl.w.WriteHeader(resp.StatusCode)
 }
 
-// plainBuffer is how much of a plain answer is passed on at a time.
-const plainBuffer = 32 << 10
+// plainBufferSize is the size in bytes of the buffer through which a plain service's answer is forwarded.
+const plainBufferSize = 32 << 10
 
-// copyPlain passes the body on. A caller that reads slowly or leaves is no fault of the upstream.
+// copyPlain forwards the body of a plain service's answer and records it for replays. The watchdog is suspended during
+// writes to the caller, because a caller that reads slowly or disconnects is not a fault of the upstream.
 func (cl *call) copyPlain(from io.Reader, wd *watchdog) error {
-	buf := make([]byte, plainBuffer)
+	buf := make([]byte, plainBufferSize)
 	for {
 		count, err := from.Read(buf)
-		wd.hold()
+		wd.suspend()
 		_, _ = cl.outcome.Write(buf[:count])
 		if _, err := cl.w.Write(buf[:count]); err != nil {
-			return errCaller
+			return errCallerWrite
 		}
 		if err == io.EOF {
 			cl.outcome.Complete()
@@ -280,15 +290,15 @@
 			return err
 		}
 		if err := cl.control.Flush(); err != nil {
-			return errCaller
+			return errCallerWrite
 		}
 		wd.progress()
 	}
 }
 
-// result classifies the end of an attempt. The order matters: a cancelled context breaks the connection too, and is
-// the cause.
-func result(ctx, watched context.Context, err error, cl *call) event.Result {
+// attemptResult classifies the end of an attempt. The order of the cases matters: a cancelled context breaks the connection
+// as well, and the cancellation is then the cause to report.
+func attemptResult(ctx, watched context.Context, err error, cl *call) event.Result {
 	switch {
 	case err == nil:
 		return event.ResultDone
@@ -298,25 +308,25 @@
 		return event.ResultNotRun
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return event.ResultExpired
-	case ctx.Err() != nil || errors.Is(err, errCaller):
+	case ctx.Err() != nil || errors.Is(err, errCallerWrite):
 		return event.ResultCancelled
 	case context.Cause(watched) == errSilent:
 		return event.ResultSilent
-	case cl.offset > 0 || cl.headerOut:
+	case cl.offset > 0 || cl.headerSent:
 		return event.ResultBroken
 	default:
 		return event.ResultFailed
 	}
 }
 
-// status returns the HTTP status that a refusal carries, 0 if none came.
-func status(err error) int {
+// refusalStatus returns the HTTP status that the error carries, or 0 if it carries none.
+func refusalStatus(err error) int {
 	value, _ := property(err, upstr.PropertyStatus).(int)
 	return value
 }
 
-// advice returns the time after which the upstream wants to be asked again, 0 if it gave none.
-func advice(err error) time.Duration {
+// retryAfter returns the delay that the upstream asked for before a retry, or 0 if it gave none.
+func retryAfter(err error) time.Duration {
 	after, _ := property(err, upstr.PropertyRetryAfter).(time.Duration)
 	return after
 }
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -13,55 +13,63 @@
 	"dandelionsail.example/dandelionsail/internal/once"
 )
 
-// mailbox is how many effects wait for a call; a call has at most a Send and a Finish at once.
-const mailbox = 4
+// effectBuffer is the capacity of a call's channel of effects. At most one Send and one Finish wait in it at a time.
+const effectBuffer = 4
 
-// writeGrace is how long after its deadline a caller can still be told of the end.
+// writeGrace is the time after a call's deadline in which the final error can still be written to the caller.
 const writeGrace = time.Second
 
-// call is one caller's request in the shell.
+// call is one caller's request and the state of its answer.
 type call struct {
-	id       event.RequestID
+	id event.RequestID
+	// name is the id that upstreams and claims see, see requestName.
 	name     string
 	w        http.ResponseWriter
 	req      *http.Request
 	arrived  time.Time
 	deadline time.Time
-	raw      []byte
+	// raw is the request's body as received.
+	raw []byte
 	// body is nil for plain services.
 	body         *body.Body
 	organisation string
 	service      string
-	mail         chan effect.Effect
-	control      *http.ResponseController
-	// line is the buffer in which chunks are framed for the caller.
+	// effects holds the reducer's effects that handleEffects carries out.
+	effects chan effect.Effect
+	control *http.ResponseController
+	// line is the buffer in which each chunk is framed as a server-sent event.
 	line []byte
 
-	// headerOut tells that the caller has a status.
-	headerOut bool
-	// offset is how many tokens the caller has; firstAt and lastAt are when the first and last came.
-	offset  int64
+	// headerSent means that the status and header were sent to the caller.
+	headerSent bool
+	// offset is the number of answer tokens forwarded so far, over all attempts.
+	offset int64
+	// firstAt is when the answer began.
 	firstAt time.Time
-	lastAt  time.Time
-	// answer holds the answer of a caller that did not ask for a stream.
+	// lastAt is when the last chunk was flushed or the answer ended.
+	lastAt time.Time
+	// answer assembles the answer for a caller that did not ask for a stream.
 	answer answer
-	// outcome is what a plain service answered, kept for the record.
+	// outcome records a plain service's answer for replays under the same idempotency key.
 	outcome once.Recorder
 
-	mu      sync.Mutex
+	// mu guards attempt and cancel against abort.
+	mu sync.Mutex
+	// attempt is the number of the running attempt.
 	attempt int
-	cancel  context.CancelFunc
+	// cancel cancels the running attempt.
+	cancel context.CancelFunc
 }
 
 func newCall(w http.ResponseWriter, req *http.Request, arrived time.Time) *call {
 	return &call{
 		w: w, req: req, arrived: arrived,
-		mail:    make(chan effect.Effect, mailbox),
+		effects: make(chan effect.Effect, effectBuffer),
 		control: http.NewResponseController(w),
 	}
 }
 
-// serve takes a request through the reducer to its end. It returns when the caller has its answer.
+// serve submits the request to the reducer and carries out its effects. It returns when the caller has its answer.
 func (in *Instance) serve(cl *call, ev event.Arrived) {
 	cl.id = event.RequestID(in.nextID.Add(1))
 	cl.name = in.requestName(cl.id)
@@ -70,28 +78,28 @@
 	cl.w.Header().Set(HeaderRequestID, cl.name)
 	in.register(cl)
 	defer in.unregister(cl)
-	// A caller that stops reading would hold its request, and the upstream's memory, beyond the deadline: a write that
-	// waits for it ends shortly after. The connection may serve another request afterwards.
+	// Without a write deadline, a caller that stops reading would hold its request and the upstream's memory beyond the
+	// request's deadline. The write deadline is cleared at the end because the connection may serve another request.
 	_ = cl.control.SetWriteDeadline(cl.deadline.Add(writeGrace))
 	defer func() { _ = cl.control.SetWriteDeadline(time.Time{}) }()
 	if !in.loop.Submit(ev) {
 		fromRefusal(&effect.Refusal{Reason: effect.ReasonDraining, Ran: effect.NotRun, Remedy: "send it again"}).write(cl.w)
 		return
 	}
-	in.converse(cl)
+	in.handleEffects(cl)
 }
 
-// requestName is the request's name towards upstreams and in the claims, unique over all runs of all instances.
+// requestName returns the request's name that upstreams and claims see. It is unique over all runs of all instances.
 func (in *Instance) requestName(id event.RequestID) string {
 	return in.run + "-" + strconv.FormatUint(uint64(id), 36)
 }
 
-// converse carries out the call's effects until its Finish.
-func (in *Instance) converse(cl *call) {
+// handleEffects carries out the call's effects until its Finish, and reports to the reducer when the caller disconnects.
+func (in *Instance) handleEffects(cl *call) {
 	gone := cl.req.Context().Done()
 	for {
 		select {
-		case eff := <-cl.mail:
+		case eff := <-cl.effects:
 			switch eff := eff.(type) {
 			case effect.Send:
 				in.loop.Submit(in.attempt(cl, eff))
@@ -124,13 +132,15 @@
 	return in.calls[id]
 }
 
-// mail hands an effect to its call. The mailbox has room for all that one call can be sent.
-func (in *Instance) mail(id event.RequestID, eff effect.Effect) {
+// deliver queues an effect for its call. It does not block: the channel has room for all effects that a call can have
+// waiting.
+func (in *Instance) deliver(id event.RequestID, eff effect.Effect) {
 	if cl := in.find(id); cl != nil {
-		cl.mail <- eff
+		cl.effects <- eff
 	}
 }
 
+// abort cancels the attempt that the effect names if it is still the running one.
 func (in *Instance) abort(eff effect.Abort) {
 	cl := in.find(eff.ID)
 	if cl == nil {
@@ -143,7 +153,7 @@
 	}
 }
 
-// begin opens the context of an attempt, which ends with the caller, the deadline or an abort.
+// begin returns the context of an attempt. It ends when the caller disconnects, at the deadline or by an abort.
 func (cl *call) begin(eff effect.Send) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithDeadline(cl.req.Context(), eff.Deadline)
 	cl.mu.Lock()
@@ -153,27 +163,27 @@
 	return ctx, cancel
 }
 
-// finish gives the caller the end of its request.
+// finish sends the caller what is still missing: the replayed answer, the error or the assembled answer.
 func (in *Instance) finish(cl *call, eff effect.Finish) {
 	switch {
 	case eff.Replay != nil:
 		replay(cl.w, eff.Replay)
 	case eff.Refusal != nil:
-		cl.refuse(fromRefusal(eff.Refusal))
+		cl.writeError(fromRefusal(eff.Refusal))
 	case cl.body != nil && !cl.body.Stream:
 		cl.answer.write(cl)
 	}
 	in.observe(cl, eff)
 }
 
-// refuse tells the caller of a failure, in the stream if that is under way.
-func (cl *call) refuse(ae *apiError) {
-	if !cl.headerOut {
+// writeError sends an error to the caller, as an event of the stream if the stream has begun.
+func (cl *call) writeError(ae *apiError) {
+	if !cl.headerSent {
 		ae.write(cl.w)
 		return
 	}
 	if cl.body == nil {
-		// Part of a plain answer is out: only a cut connection tells the caller that it is not whole.
+		// Part of a plain service's answer was sent. Only an aborted connection shows the caller that it is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = cl.w.Write([]byte("event: error\ndata: "))
@@ -182,6 +192,7 @@
 	_ = cl.control.Flush()
 }
 
+// replay answers with the recorded outcome of an earlier run under the same idempotency key.
 func replay(w http.ResponseWriter, out *event.Outcome) {
 	header := w.Header()
 	header.Set("Idempotent-Replayed", "true")
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -9,10 +9,10 @@
 	"dandelionsail.example/dandelionsail/internal/once"
 )
 
-// settleTime is how long an instance tries to record an outcome; after it a resend hears "unknown".
-const settleTime = time.Minute
+// settleTimeout is how long an instance tries to record the outcome of a claim. If it fails, a resend gets OutcomeUnknown.
+const settleTimeout = time.Minute
 
-// claimCounters names the counter of each result of a claim.
+// claimCounters maps the result of a claim to the last part of its counter's name.
 var claimCounters = map[event.ClaimResult]string{
 	event.ClaimWon:         "Won",
 	event.ClaimRepeated:    "Repeated",
@@ -20,6 +20,7 @@
 	event.ClaimUnavailable: "Unavailable",
 }
 
+// claim claims the request's idempotency key in the background and submits the result to the reducer.
 func (in *Instance) claim(eff effect.Claim) {
 	cl := in.find(eff.ID)
 	if cl == nil {
@@ -32,11 +33,12 @@
 		ctx, cancel := context.WithDeadline(context.Background(), eff.Deadline)
 		defer cancel()
 		result, out := in.claims.Claim(ctx, ky, eff.Digest, name)
-		in.countState("Claims." + claimCounters[result])
+		in.incCounter("Claims." + claimCounters[result])
 		in.loop.Submit(event.ClaimSettled{ID: eff.ID, Result: result, Outcome: out})
 	})
 }
 
+// recordOutcome records the outcome of a claimed request, or releases the claim, in the background.
 func (in *Instance) recordOutcome(eff effect.RecordOutcome) {
 	ky := once.Key{Organisation: eff.Organisation, Service: eff.Service, Key: eff.Key}
 	var out event.Outcome
@@ -45,10 +47,10 @@
 		out = cl.outcome.Outcome()
 	}
 	in.settling.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+		ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 		defer cancel()
 		if err := in.claims.Settle(ctx, ky, name, out, eff.Release); err != nil {
-			in.log.Warn().Err(err).Msg("outcome of a claim not recorded; resends hear that it is unknown")
+			in.log.Warn().Err(err).Msg("cannot record the outcome of a claim; resends get OutcomeUnknown")
 		}
 	})
 }
--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -12,14 +12,14 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// defaultMaxTokens bounds an answer for which the caller named no bound.
+// defaultMaxTokens is the max_tokens of a request that gives none.
 const defaultMaxTokens = 256
 
-// reader turns a caller's request into the reducer's event, or says what is wrong with it.
-type reader func(cl *call, dir *directory) (event.Arrived, *apiError)
+// requestParser turns a caller's request into the reducer's event, or returns the error to answer with.
+type requestParser func(cl *call, dir *directory) (event.Arrived, *apiError)
 
-// handle takes the request of an organisation through its reader to the reducer and on to its end.
-func (in *Instance) handle(w http.ResponseWriter, req *http.Request, read reader) {
+// handle authenticates the organisation, parses its request and serves it.
+func (in *Instance) handle(w http.ResponseWriter, req *http.Request, parse requestParser) {
 	cl := newCall(w, req, time.Now())
 	dir := in.config.Load()
 	org, ok := dir.organisation(req)
@@ -28,7 +28,7 @@
 		return
 	}
 	cl.organisation = org
-	ev, ae := read(cl, dir)
+	ev, ae := parse(cl, dir)
 	if ae != nil {
 		ae.write(w)
 		return
@@ -42,10 +42,10 @@
 
 // completions serves both forms of the completions API.
 func (in *Instance) completions(w http.ResponseWriter, req *http.Request) {
-	in.handle(w, req, in.readCompletion)
+	in.handle(w, req, in.parseCompletion)
 }
 
-func (in *Instance) readCompletion(cl *call, dir *directory) (event.Arrived, *apiError) {
+func (in *Instance) parseCompletion(cl *call, dir *directory) (event.Arrived, *apiError) {
 	raw, ae := in.readBody(cl.w, cl.req)
 	if ae != nil {
 		return event.Arrived{}, ae
@@ -60,7 +60,7 @@
 		return event.Arrived{}, badRequest(http.StatusNotFound, "UnknownModel", message)
 	}
 	svc := dir.cfg.Services[service].WithDefaults()
-	if ae := boundAnswer(bd, svc); ae != nil {
+	if ae := boundMaxTokens(bd, svc); ae != nil {
 		return event.Arrived{}, ae
 	}
 	deadline, ae := readDeadline(cl.req, svc, cl.arrived)
@@ -77,8 +77,9 @@
 	}, ae
 }
 
-// boundAnswer gives an answer without a bound the default one, and refuses one that no engine could hold.
-func boundAnswer(bd *body.Body, svc decl.Service) *apiError {
+// boundMaxTokens sets max_tokens to the default if the caller gave none, and refuses a value that exceeds the memory of any
+// engine of the service.
+func boundMaxTokens(bd *body.Body, svc decl.Service) *apiError {
 	if bd.MaxTokens == 0 {
 		bd.MaxTokens = defaultMaxTokens
 	}
@@ -89,6 +90,8 @@
 	return nil
 }
 
+// digest returns the hash of the request's method, URI and body. A claim detects by it that an idempotency key is reused for
+// another request, and the quarantine identifies content by it.
 func digest(req *http.Request, raw []byte) event.Digest {
 	hash := sha256.New()
 	_, _ = fmt.Fprintf(hash, "%s\n%s\n", req.Method, req.URL.RequestURI())
@@ -96,14 +99,14 @@
 	return event.Digest(hash.Sum(nil))
 }
 
-// readBody reads the whole body once, within its bounds of length and time.
+// readBody reads the whole body, limited in length by MaxBody and in time by BodyTimeout.
 func (in *Instance) readBody(w http.ResponseWriter, req *http.Request) ([]byte, *apiError) {
 	if req.ContentLength > in.opts.MaxBody {
 		return nil, tooLarge(in.opts.MaxBody)
 	}
 	raw, err := readAll(http.MaxBytesReader(w, req.Body, in.opts.MaxBody), req.ContentLength)
 	if err == nil {
-		// With the bound left in force, the caller would count as gone when it passes.
+		// If the read deadline stayed in force, the server would take the caller as disconnected when it passes.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 		return raw, nil
 	}
@@ -118,32 +121,34 @@
 }
 
 const (
-	// firstBuffer is what a body gets before any of it came.
-	firstBuffer = 64 << 10
-	// growth is by how much its buffer grows when full.
-	growth = 4
+	// initialBufferSize is the size in bytes of a body's buffer before any of the body was received.
+	initialBufferSize = 64 << 10
+	// bufferGrowth is the factor by which a full buffer grows.
+	bufferGrowth = 4
 )
 
-// readAll reads a body of known length, whose buffer ends with just that length. It grows with what came, since a
-// caller that only claims a long body would take that much memory from the others.
+// readAll reads a body. If the length is known, the buffer ends up with exactly that length. It grows with the data
+// received: if it were allocated at once, callers could take memory from all others by announcing long bodies that they
+// never send.
 func readAll(reader io.Reader, length int64) ([]byte, error) {
 	if length < 0 {
 		return io.ReadAll(reader)
 	}
-	raw := make([]byte, min(length, firstBuffer))
+	raw := make([]byte, min(length, initialBufferSize))
 	for have := 0; ; {
 		count, err := io.ReadFull(reader, raw[have:])
 		have += count
 		if err != nil || int64(have) == length {
 			return raw[:have], err
 		}
-		grown := make([]byte, min(length, int64(have)*growth))
+		grown := make([]byte, min(length, int64(have)*bufferGrowth))
 		copy(grown, raw)
 		raw = grown
 	}
 }
 
-// readDeadline takes the caller's deadline, capped by the service's.
+// readDeadline returns the caller's deadline, at most the service's MaxDeadline ahead, or the service's default if the
+// caller gave none.
 func readDeadline(req *http.Request, svc decl.Service, now time.Time) (time.Time, *apiError) {
 	text := req.Header.Get(HeaderDeadline)
 	if text == "" {
--- a/internal/entry/directory.go
+++ b/internal/entry/directory.go
@@ -8,16 +8,17 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// directory is a configuration with the look-ups that each request needs.
+// directory is a configuration with indexes for the lookups that each request needs.
 type directory struct {
 	cfg *decl.Config
-	// organisations and operators find a name by its token's digest.
+	// organisations maps a token's digest to the name of its Organisation.
 	organisations map[string]string
-	operators     map[string]string
-	// models finds the service of an offered model.
+	// operators maps a token's digest to the name of its operator.
+	operators map[string]string
+	// models maps the name of an offered model, or of a model with an adapter, to its service.
 	models map[string]string
-	// names lists the offered models in order.
-	names []string
+	// modelNames lists the keys of models in alphabetical order.
+	modelNames []string
 }
 
 func newDirectory(cfg *decl.Config) *directory {
@@ -40,7 +41,7 @@
 	for name, svc := range cfg.Services {
 		dir.addModels(name, svc)
 	}
-	slices.Sort(dir.names)
+	slices.Sort(dir.modelNames)
 	return dir
 }
 
@@ -52,12 +53,12 @@
 		}
 		for _, name := range offered {
 			dir.models[name] = service
-			dir.names = append(dir.names, name)
+			dir.modelNames = append(dir.modelNames, name)
 		}
 	}
 }
 
-// organisation finds the caller by its bearer token.
+// organisation returns the name of the Organisation that the request's bearer token belongs to.
 func (dir *directory) organisation(req *http.Request) (string, bool) {
 	token, ok := strings.CutPrefix(req.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -67,7 +68,7 @@
 	return name, ok
 }
 
-// plain finds the plain service whose path is the longest prefix of the request's.
+// plain returns the plain service whose path is the longest prefix of the request's path.
 func (dir *directory) plain(path string) (string, bool) {
 	best := ""
 	for name, svc := range dir.cfg.Services {
--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -22,7 +22,7 @@
 	"dandelionsail.example/dandelionsail/internal/stand"
 )
 
-// engine returns a stand-in of a model engine, which the rig runs.
+// engine returns a simulated model engine. The rig runs it.
 func engine(step time.Duration) *stand.Engine {
 	opts := stand.DefaultEngine()
 	opts.Step = step
@@ -30,7 +30,7 @@
 	return stand.NewEngine(opts)
 }
 
-// proxied puts a fault-injecting proxy before each upstream, until the test ends.
+// proxied returns a function that starts a fault-injecting proxy in front of an address until the test ends.
 func proxied(t *testing.T, proxies *[]*fault.Proxy) func(string) string {
 	return func(address string) string {
 		px, err := fault.New("tcp", "127.0.0.1:0", address)
@@ -48,9 +48,10 @@
 }
 
 func TestSilentStreamsResume(t *testing.T) {
-	// Callers stream when all connections to the engines go silent for good, as when something between the two ends
-	// loses track of them. No error ever comes. The silence is found, the streams go on over new connections, and each
-	// caller has its whole answer; the engines are told to drop what they still hold for the dead connections.
+	// Guards against streams that hang until their deadline when connections go silent without an error, as when something
+	// between the two ends loses their state. Here all connections to the engines go silent while callers stream. The
+	// instance must detect the silence and resume the streams over new connections, so that each caller gets its complete
+	// answer, and ask the engines to free the requests of the silent connections.
 	var proxies []*fault.Proxy
 	one, two := engine(5*time.Millisecond), engine(5*time.Millisecond)
 	rg := newRig(t, rigOptions{
@@ -75,8 +76,8 @@
 }
 
 func TestCancelledRequestsLeaveNothing(t *testing.T) {
-	// Callers leave at every stage: while their request waits, connects, prefills, and between tokens. The engine drops
-	// each one at once, and neither memory, nor map entries, nor goroutines stay behind.
+	// Guards against leaks when callers disconnect: while their request is queued, connects, prefills, or between tokens.
+	// The engine must free each request at once, and no engine memory, map entry or goroutine may remain.
 	const requests, atOnce = 10_000, 100
 	en := engine(time.Millisecond)
 	rg := newRig(t, rigOptions{Engines: []*stand.Engine{en}, Plain: []http.Handler{stand.NewService(5 * time.Millisecond).Handler()}})
@@ -99,14 +100,14 @@
 		})
 	}
 	group.Wait()
-	rg.empty()
+	rg.waitEmpty()
 	for en.Used() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// stuck is an upstream that stops at a stage and goes on for nobody.
-func stuck(tokens int) http.Handler {
+// stuckUpstream returns an upstream that sends the given number of tokens and then nothing until the request is cancelled.
+func stuckUpstream(tokens int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		_, _ = io.Copy(io.Discard, req.Body)
 		for token := range tokens {
@@ -118,8 +119,9 @@
 }
 
 func TestDeadlineInEveryStage(t *testing.T) {
-	// Whatever holds a request up, its caller hears of the end when its time is over, with the truth about whether it
-	// ran. The services' ProgressTimeout is longer than the test, so that only the deadline can end these requests.
+	// Guards against callers that wait beyond their deadline or get a wrong statement about whether the request ran, at
+	// whatever stage the upstream stops. The services' ProgressTimeout is longer than the test, so that only the deadline
+	// can end these requests.
 	cases := map[string]struct {
 		models []http.Handler
 		plain  []http.Handler
@@ -127,9 +129,9 @@
 		status int
 		ran    effect.Ran
 	}{
-		"no first token":      {models: []http.Handler{stuck(0)}, path: "/v1/completions", status: 504, ran: effect.Unknown},
-		"between tokens":      {models: []http.Handler{stuck(3)}, path: "/v1/completions", status: 504, ran: effect.HasRun},
-		"plain service stuck": {plain: []http.Handler{stuck(0)}, path: "/board/next", status: 502, ran: effect.Unknown},
+		"no first token":      {models: []http.Handler{stuckUpstream(0)}, path: "/v1/completions", status: 504, ran: effect.Unknown},
+		"between tokens":      {models: []http.Handler{stuckUpstream(3)}, path: "/v1/completions", status: 504, ran: effect.HasRun},
+		"plain service stuck": {plain: []http.Handler{stuckUpstream(0)}, path: "/board/next", status: 502, ran: effect.Unknown},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -141,13 +143,13 @@
 			_ = resp.Body.Close()
 			assert.Equal(t, resp.StatusCode, tc.status, string(detail))
 			assert.Equal(t, resp.Header.Get(entry.HeaderRan), string(tc.ran), string(detail))
-			rg.empty()
+			rg.waitEmpty()
 		})
 	}
 }
 
-// flood is an engine that answers with more than any buffer between it and a caller holds.
-func flood() http.Handler {
+// floodingEngine returns an engine whose answer is longer than all buffers between it and the caller can hold.
+func floodingEngine() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		_, _ = io.Copy(io.Discard, req.Body)
 		padding := bytes.Repeat([]byte("x"), 32<<10)
@@ -158,9 +160,9 @@
 }
 
 func TestCallerThatStopsReading(t *testing.T) {
-	// A caller asks for a long answer and reads none of it. Its request must not outlive its deadline, and the engine,
-	// which waits for the caller, must not be called silent.
-	rg := newRig(t, rigOptions{Models: []http.Handler{flood()}, Progress: 100 * time.Millisecond})
+	// Guards against requests that are held forever because the caller requests a long answer and reads none of it. The
+	// request must end at its deadline, and the engine, which waits for the caller, must not be counted as silent.
+	rg := newRig(t, rigOptions{Models: []http.Handler{floodingEngine()}, Progress: 100 * time.Millisecond})
 	conn, err := net.Dial("tcp", rg.address)
 	assert.NilError(t, err)
 	defer func() { _ = conn.Close() }()
@@ -173,14 +175,14 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	rg.empty()
+	rg.waitEmpty()
 	silent := metrics.GetOrRegisterCounter("Attempts.Silent", rg.instance.Meter.Registry)
 	assert.Equal(t, silent.Count(), int64(0))
 }
 
 func TestBadInput(t *testing.T) {
-	// Whatever a caller sends, it hears what is wrong with it at once, that nothing was run, and the instance holds
-	// nothing of it afterwards.
+	// Guards against invalid requests that hang, are run or leak memory: each one must be answered at once with the
+	// right status and the statement that nothing ran, and the instance must hold nothing of it afterwards.
 	const post = "POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
 	const auth = "Authorization: Bearer " + token + "\r\n"
 	body := func(document string) string {
@@ -189,7 +191,7 @@
 	cases := map[string]struct {
 		request string
 		status  int
-		// bare is set where the HTTP library itself refuses, before the request reaches a handler.
+		// bare means that the HTTP library refuses the request before it reaches a handler.
 		bare bool
 	}{
 		"too large":              {post + auth + "Content-Length: 99999999\r\n\r\n", 413, false},
@@ -199,22 +201,22 @@
 		"no token":               {post + body(`{"model":"lyric","prompt":"p"}`), 401, false},
 		"wrong token":            {post + "Authorization: Bearer x\r\n" + body(`{"model":"lyric","prompt":"p"}`), 401, false},
 		"deadline in the past":   {post + auth + "X-Request-Deadline: 2001-01-01T00:00:00Z\r\n" + body(`{"model":"lyric","prompt":"p"}`), 400, false},
-		"deadline no time":       {post + auth + "X-Request-Deadline: soon\r\n" + body(`{"model":"lyric","prompt":"p"}`), 400, false},
-		"absurd max_tokens":      {post + auth + body(`{"model":"lyric","prompt":"p","max_tokens":9223372036854775807}`), 400, false},
+		"deadline is no time":    {post + auth + "X-Request-Deadline: soon\r\n" + body(`{"model":"lyric","prompt":"p"}`), 400, false},
+		"huge max_tokens":        {post + auth + body(`{"model":"lyric","prompt":"p","max_tokens":9223372036854775807}`), 400, false},
 		"slow sender":            {post + auth + "Content-Length: 50\r\n\r\n{", 400, false},
-		"slow, no token":         {post + "Content-Length: 50\r\n\r\n{", 401, false},
-		"bad length":             {post + auth + "Content-Length: x\r\n\r\n", 400, true},
+		"slow sender, no token":  {post + "Content-Length: 50\r\n\r\n{", 401, false},
+		"invalid length":         {post + auth + "Content-Length: x\r\n\r\n", 400, true},
 		"two lengths":            {post + auth + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n", 400, true},
-		"header flood":           {post + auth + "X-Flood: " + string(bytes.Repeat([]byte("x"), 128<<10)) + "\r\n" + body("{}"), 431, true},
+		"header too large":       {post + auth + "X-Flood: " + string(bytes.Repeat([]byte("x"), 128<<10)) + "\r\n" + body("{}"), 431, true},
 		"unknown path":           {"POST /elsewhere HTTP/1.1\r\nHost: x\r\n" + auth + body("{}"), 404, false},
 		"not HTTP":               {"hello\r\n\r\n", 400, true},
 		"longer than any class":  {post + auth + body(`{"model":"lyric","prompt":"`+string(bytes.Repeat([]byte("x"), 5<<20))+`"}`), 413, false},
 		"method of another path": {"PUT /v1/models HTTP/1.1\r\nHost: x\r\n" + auth + body("{}"), 404, false},
 	}
-	rg := newRig(t, rigOptions{Models: []http.Handler{stuck(0)}, Plain: []http.Handler{stuck(0)}})
+	rg := newRig(t, rigOptions{Models: []http.Handler{stuckUpstream(0)}, Plain: []http.Handler{stuckUpstream(0)}})
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			resp := rg.raw(tc.request)
+			resp := rg.sendRaw(tc.request)
 			defer func() { _ = resp.Body.Close() }()
 			detail, _ := io.ReadAll(resp.Body)
 			assert.Equal(t, resp.StatusCode, tc.status, string(detail))
@@ -223,5 +225,5 @@
 			}
 		})
 	}
-	rg.empty()
+	rg.waitEmpty()
 }
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -10,32 +10,34 @@
 	"dandelionsail.example/dandelionsail/internal/effect"
 )
 
-// Headers towards callers.
+// Names of headers in callers' requests and in answers to them.
 const (
-	// HeaderRan says of a refused or failed request whether it ran: NotRun, Ran or Unknown.
+	// HeaderRan reports whether a refused or failed request ran: NotRun, Ran or Unknown.
 	HeaderRan = "Dandelionsail-Run"
 	// HeaderDeadline is the caller's deadline, as a duration such as "30s" or as an RFC 3339 time.
 	HeaderDeadline = "X-Request-Deadline"
-	// HeaderRequestID returns the request's id for support.
+	// HeaderRequestID carries the request's id in the answer, for support.
 	HeaderRequestID = "X-Request-Id"
 )
 
-// apiError is an error in the shape that callers of the completions API expect.
+// apiError is an error in the format that clients of the completions API expect.
 type apiError struct {
-	Status  int           `json:"-"`
-	Ran     effect.Ran    `json:"-"`
+	Status int `json:"-"`
+	// Ran is sent in the header HeaderRan.
+	Ran effect.Ran `json:"-"`
+	// After is sent in the header Retry-After, unless it is 0.
 	After   time.Duration `json:"-"`
 	Message string        `json:"message"`
 	Type    string        `json:"type"`
 	Code    string        `json:"code"`
 }
 
-// badRequest is a refusal before the request reached the reducer.
+// badRequest returns the error for a request that is refused before it reaches the reducer.
 func badRequest(status int, code, message string) *apiError {
 	return &apiError{Status: status, Ran: effect.NotRun, Message: message, Type: "invalid_request_error", Code: code}
 }
 
-// statuses gives each reason its HTTP status.
+// statuses maps the reason of a refusal to its HTTP status.
 var statuses = map[effect.Reason]int{
 	effect.ReasonLimit:        http.StatusTooManyRequests,
 	effect.ReasonBusy:         http.StatusServiceUnavailable,
@@ -54,6 +56,7 @@
 	effect.ReasonRejected:     http.StatusBadRequest,
 }
 
+// fromRefusal converts a refusal by the reducer.
 func fromRefusal(refusal *effect.Refusal) *apiError {
 	status, ok := statuses[refusal.Reason]
 	if !ok {
@@ -75,6 +78,7 @@
 	}
 }
 
+// document returns the error's JSON.
 func (ae *apiError) document() []byte {
 	raw, err := json.Marshal(struct {
 		Error *apiError `json:"error"`
@@ -85,7 +89,7 @@
 	return raw
 }
 
-// write answers a request whose header is not out yet.
+// write answers a request for which no header was sent yet.
 func (ae *apiError) write(w http.ResponseWriter) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
--- a/internal/entry/export_test.go
+++ b/internal/entry/export_test.go
@@ -2,7 +2,7 @@
 
 import "dandelionsail.example/dandelionsail/internal/core"
 
-// Held returns how many requests the shell and the reducer still hold.
+// Held returns the number of calls that the instance still holds and the number of requests that its reducer still holds.
 func (in *Instance) Held() (calls, requests int) {
 	in.mu.Lock()
 	calls = len(in.calls)
--- a/internal/entry/headers_test.go
+++ b/internal/entry/headers_test.go
@@ -10,9 +10,9 @@
 	"dandelionsail.example/dandelionsail/internal/upstr"
 )
 
-func TestCallersCannotSpeakForTheInstance(t *testing.T) {
-	// A caller sends the headers that an instance tells engines: another organisation's cache handle, a high priority,
-	// an offset. The engine must get the instance's own words only, and the caller's harmless headers.
+func TestCallersCannotSetInternalHeaders(t *testing.T) {
+	// Guards against callers that send the headers meant for instances only: another organisation's cache handle, a high
+	// priority, an offset. The engine must get these headers from the instance only, but the caller's harmless ones too.
 	seen := make(chan http.Header, 1)
 	engine := http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Path != "/v1/completions" {
--- a/internal/entry/instance.go
+++ b/internal/entry/instance.go
@@ -1,5 +1,5 @@
-// Package entry is the shell of an entry instance: HTTP towards callers, and the hands that carry out what the
-// reducers decide.
+// Package entry implements an entry instance. It serves callers over HTTP, turns their requests into events for the
+// reducers, and carries out the effects that the reducers return.
 package entry
 
 import (
@@ -32,7 +32,7 @@
 	"github.com/phuslu/log"
 )
 
-// Limits of the callers' side.
+// Limits of the HTTP server for callers.
 const (
 	maxHeaderBytes    = 64 << 10
 	readHeaderTimeout = 10 * time.Second
@@ -42,7 +42,7 @@
 // Instance is one running entry instance.
 type Instance struct {
 	opts Options
-	// run names this run of the instance: its name and when it started.
+	// run identifies this run of the instance: its name and its start time.
 	run      string
 	loop     *core.Loop
 	upstream *upstr.Client
@@ -55,43 +55,49 @@
 	log      *log.Logger
 	// Meter holds the instance's counters, timers and service-level burn.
 	Meter *meter.Meter
-	// peers is nil in an instance without keys.
+	// peers is the transport to the other instances, nil in an instance without peer keys.
 	peers *peers.QUIC
-	// livePeers holds the peer addresses of the other live instances, never nil.
-	livePeers atomic.Pointer[[]string]
+	// listedPeers holds the peer addresses of the other listed instances; the pointer is never nil.
+	listedPeers atomic.Pointer[[]string]
 
 	nextID atomic.Uint64
 	config atomic.Pointer[directory]
-	// listed tells that the platform named upstreams; draining that this instance is on its way out.
-	listed   atomic.Bool
+	// listed means that the platform's instance list has contained an upstream.
+	listed atomic.Bool
+	// draining means that this instance is shutting down.
 	draining atomic.Bool
-	// asked tells that peers are asked for the quarantine, learned that they were or that there is none to ask.
-	asked     bool
-	learned   atomic.Bool
-	newcomers newcomers
-	mu        sync.Mutex
-	calls     map[event.RequestID]*call
-	pending   sync.WaitGroup
-	// settling counts the claims and outcomes being recorded.
+	// quarantineRequested means that the request of the quarantine list from peers has begun.
+	quarantineRequested bool
+	// quarantineReady means that this request has ended, or that there are no peers.
+	quarantineReady atomic.Bool
+	// quarantineRequesters are the peers that recently requested the list from this instance.
+	quarantineRequesters requesters
+	// mu guards calls.
+	mu    sync.Mutex
+	calls map[event.RequestID]*call
+	// pending counts the background work that stopReaders waits for.
+	pending sync.WaitGroup
+	// settling counts the claims and outcomes that are being recorded.
 	settling sync.WaitGroup
 	// heartbeats holds the addresses of engines that are known to send heartbeats.
 	heartbeats sync.Map
-	// reporters are the running load readers by upstream name.
-	reporters map[string]context.CancelFunc
+	// readers holds the functions that stop the readers of each watched engine's load reports and cache events, by the
+	// engine's name and address.
+	readers map[string]context.CancelFunc
 }
 
-// New returns an instance that has not started.
+// New returns an instance that is not running yet.
 func New(opts Options, logger *log.Logger) *Instance {
 	in := &Instance{
-		opts:      opts,
-		run:       opts.Name + "." + strconv.FormatInt(time.Now().UnixMicro(), 36),
-		upstream:  upstr.New(),
-		store:     store.New(opts.Store),
-		platform:  plat.New(opts.Platform),
-		log:       logger,
-		Meter:     meter.New(),
-		calls:     map[event.RequestID]*call{},
-		reporters: map[string]context.CancelFunc{},
+		opts:     opts,
+		run:      opts.Name + "." + strconv.FormatInt(time.Now().UnixMicro(), 36),
+		upstream: upstr.New(),
+		store:    store.New(opts.Store),
+		platform: plat.New(opts.Platform),
+		log:      logger,
+		Meter:    meter.New(),
+		calls:    map[event.RequestID]*call{},
+		readers:  map[string]context.CancelFunc{},
 	}
 	in.conf = conf.New(in.store)
 	in.follower = conf.NewFollower(in.conf, event.Instance{Name: opts.Name, FailureDomain: opts.FailureDomain}, in.acceptConfig)
@@ -99,7 +105,7 @@
 	in.leases = lease.New(in.store, in.run)
 	in.config.Store(newDirectory(&decl.Config{}))
 	policy, _ := opts.policy()
-	in.livePeers.Store(&[]string{})
+	in.listedPeers.Store(&[]string{})
 	in.loop = core.NewLoop(core.New(core.Options{
 		Name:          opts.Name,
 		FailureDomain: opts.FailureDomain,
@@ -113,6 +119,7 @@
 	return in
 }
 
+// seed returns the configured seed, or a hash of the instance's name if none is configured.
 func seed(opts Options) uint64 {
 	if opts.Seed != 0 {
 		return opts.Seed
@@ -122,7 +129,7 @@
 	return hash.Sum64()
 }
 
-// Run serves until the context ends, then drains and returns.
+// Run listens on the configured addresses and serves until the context ends, then drains and returns.
 func (in *Instance) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", in.opts.Listen)
 	if err != nil {
@@ -132,14 +139,14 @@
 	if err != nil {
 		return err
 	}
-	// Who started the process with port 0 learns the addresses from here.
+	// The output tells whoever started the process with port 0 which addresses were chosen.
 	fmt.Println(strings.TrimSpace(listener.Addr().String() + " " + peer))
 	return in.Serve(ctx, listener)
 }
 
-// Serve is Run on a listener that is open already.
+// Serve is like Run, but serves callers on a given listener. Peers are connected only if OpenPeers was called before.
 func (in *Instance) Serve(ctx context.Context, listener net.Listener) error {
-	// Work under way outlives the order to stop, so the parts run under a context of their own.
+	// Requests in flight finish after ctx has ended, so the parts run under a context that ends only after the drain.
 	parts, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	server := &http.Server{
@@ -148,15 +155,15 @@
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
-	in.joinState()
+	in.attachPeerTransport()
 	group, parts := errgroup.WithContext(parts)
 	group.Go(func() error { return in.loop.Run(parts) })
 	group.Go(func() error { return in.follower.Run(parts) })
 	group.Go(func() error { return in.follower.RunCompaction(parts) })
-	group.Go(func() error { return in.followPlatform(parts) })
+	group.Go(func() error { return in.pollPlatform(parts) })
 	group.Go(func() error { return in.claims.Run(parts) })
 	group.Go(func() error { return in.leases.Run(parts) })
-	group.Go(func() error { return in.keepState(parts) })
+	group.Go(func() error { return in.runCoordination(parts) })
 	group.Go(func() error { return in.Meter.Run(parts, in.log) })
 	group.Go(func() error { return in.serveMetrics(parts) })
 	if in.peers != nil {
@@ -187,27 +194,28 @@
 	return err
 }
 
-// drain stops without cutting a request: readiness goes off, the balancer gets time to see it, and what was admitted
-// finishes.
+// drain shuts down without aborting requests: it turns readiness off, waits DrainNotice for the load balancer to notice, and
+// lets the admitted requests finish within DrainTime.
 func (in *Instance) drain(ctx context.Context, server *http.Server) error {
 	in.draining.Store(true)
 	in.log.Info().Str("Instance", in.opts.Name).Msg("draining")
 	delay.For(ctx, in.opts.DrainNotice)
 	in.loop.Submit(event.DrainStarted{})
-	in.leaveQuarantine()
+	in.rebroadcastQuarantine()
 	deadline, cancel := context.WithTimeout(ctx, in.opts.DrainTime)
 	defer cancel()
 	err := server.Shutdown(deadline)
-	in.settle(deadline)
+	in.waitSettled(deadline)
 	return err
 }
 
-// settle waits until every claim and outcome is recorded. A process that ended before would leave the claim of a
-// request that was run, or was certainly not, as "may be running", and a resend would hear that its outcome is unknown.
-func (in *Instance) settle(ctx context.Context) {
-	// Requests whose caller left while its key was being claimed stay in the reducer until the claim is given back.
-	for ctx.Err() == nil && in.unsettled() > 0 {
-		delay.For(ctx, settlePause)
+// waitSettled waits until the outcomes of all claims are recorded or the context ends. If the process ended before, the
+// claim of a request that did run, or certainly did not, would stay recorded as possibly running, and a resend would get
+// OutcomeUnknown.
+func (in *Instance) waitSettled(ctx context.Context) {
+	// A request whose caller disconnected while its key was being claimed stays in the reducer until the claim is released.
+	for ctx.Err() == nil && in.heldRequests() > 0 {
+		delay.For(ctx, settlePollPeriod)
 	}
 	settled := make(chan struct{})
 	go func() {
@@ -220,23 +228,24 @@
 	}
 }
 
-// settlePause is the time between two looks at whether all claims are settled.
-const settlePause = 10 * time.Millisecond
+// settlePollPeriod is the time between two checks for requests that the reducer still holds.
+const settlePollPeriod = 10 * time.Millisecond
 
-// unsettled returns how many requests the reducer still holds.
-func (in *Instance) unsettled() int {
+// heldRequests returns the number of requests that the reducer still holds.
+func (in *Instance) heldRequests() int {
 	count := 0
 	in.loop.View(func(st *core.State) { count = len(st.Requests) })
 	return count
 }
 
-// guard wraps all routes with what holds for each request, whatever becomes of it.
+// guard is the middleware around all routes.
 //
-// While the instance drains, each answer says that its connection closes: a connection that the server closed by itself
-// could just then carry the caller's next request, which would be cut.
+// While the instance drains, it sets Connection: close on each answer. Otherwise the caller could send its next request on a
+// connection at the moment when the server closes it, and the request would be lost.
 //
-// A body has a bounded time to come, also where the request is refused unread: the server reads on before it answers,
-// and a slow sender without a token would hold its connection for good. readBody lifts the bound after the body.
+// It limits the time in which a body must arrive, also for requests that are refused without reading the body: the server
+// reads on before it answers, and a slow sender without a token would hold its connection forever. readBody clears the
+// limit after the body.
 func (in *Instance) guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if in.draining.Load() {
@@ -256,7 +265,7 @@
 	in.log.Info().Str("Instance", in.opts.Name).Msg("stopped")
 }
 
-// acceptConfig brings a version into force; the follower calls it with rising versions, one at a time.
+// acceptConfig applies a version of the configuration. The follower calls it sequentially, with increasing versions.
 func (in *Instance) acceptConfig(cfg *decl.Config) {
 	in.config.Store(newDirectory(cfg))
 	in.Meter.Configure(cfg)
@@ -265,12 +274,13 @@
 	in.log.Info().Str("Instance", in.opts.Name).Int64("Version", cfg.Version).Msg("configuration in force")
 }
 
-// ready reports whether the balancer may send requests here.
+// ready reports whether the load balancer may send requests to this instance.
 func (in *Instance) ready() bool {
-	return in.listed.Load() && in.learned.Load() && !in.draining.Load() && in.config.Load().cfg.Version > 0
+	return in.listed.Load() && in.quarantineReady.Load() && !in.draining.Load() && in.config.Load().cfg.Version > 0
 }
 
-func (in *Instance) followPlatform(ctx context.Context) error {
+// pollPlatform reads the platform's instance list once per ListPeriod and distributes it until the context ends.
+func (in *Instance) pollPlatform(ctx context.Context) error {
 	failing := false
 	for ctx.Err() == nil {
 		listing, err := in.platform.List(ctx)
@@ -282,15 +292,15 @@
 			ups, insts := listing.Events()
 			in.loop.Submit(ups)
 			in.loop.Submit(insts)
-			in.knowPeers(insts)
+			in.updatePeers(insts)
 			if len(ups.Upstreams)+len(insts.Instances) > 0 {
-				in.learnQuarantine(*in.livePeers.Load())
+				in.fetchQuarantine(*in.listedPeers.Load())
 			}
-			in.followReports(ctx, ups)
+			in.updateReaders(ctx, ups)
 			in.listed.Store(in.listed.Load() || len(ups.Upstreams) > 0)
 		}
 		delay.For(ctx, in.opts.ListPeriod)
 	}
-	in.stopReports()
+	in.stopReaders()
 	return ctx.Err()
 }
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -11,7 +11,7 @@
 	"dandelionsail.example/dandelionsail/internal/meter"
 )
 
-// serveMetrics serves counters, health and profiles on an address of their own, if one is set.
+// serveMetrics serves metrics, health checks and profiles at MetricsListen, if that is set.
 func (in *Instance) serveMetrics(ctx context.Context) error {
 	err := meter.Serve(ctx, in.opts.MetricsListen, in.metricsRoutes())
 	if err != nil {
--- a/internal/entry/observe.go
+++ b/internal/entry/observe.go
@@ -9,7 +9,8 @@
 	"dandelionsail.example/dandelionsail/internal/meter"
 )
 
-// callerFaults are the reasons that no objective counts: the service owed these requests no answer.
+// callerFaults are the reasons for refusals that do not count against a service-level objective, because the service did not
+// owe these requests an answer.
 var callerFaults = map[effect.Reason]bool{
 	effect.ReasonLimit:        true,
 	effect.ReasonTooLong:      true,
@@ -19,10 +20,10 @@
 	effect.ReasonKeyRunning:   true,
 }
 
-// plainClass stands for the length class in the metrics of plain services.
+// plainClass is used in metric names in place of the length class for requests to plain services.
 const plainClass = "Plain"
 
-// observe measures a request that ended.
+// observe records the metrics of a finished request. Requests whose caller disconnected are not counted.
 func (in *Instance) observe(cl *call, eff effect.Finish) {
 	if cl.req.Context().Err() != nil && eff.Refusal == nil {
 		return
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -14,22 +14,22 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Rights that an operator's request needs.
+// Permissions that a request to the operator API requires.
 const (
 	readOnly = false
 	mayWrite = true
 )
 
-// maxPatch bounds a patch in bytes: it must fit into one value of the key-value service.
+// maxPatch is the maximum size of a patch in bytes: a patch must fit into one value of the key-value service.
 const maxPatch = 900 << 10
 
-// bootstrapOperator is the author's name of patches under the bootstrap token.
+// bootstrapOperator is the author recorded for patches that are submitted with the bootstrap token.
 const bootstrapOperator = "bootstrap"
 
-// operatorHandler serves a request of a named operator.
+// operatorHandler serves a request of the authenticated operator.
 type operatorHandler func(w http.ResponseWriter, req *http.Request, operator string)
 
-// operator lets only operators through, and only those with the right to write where that is needed.
+// operator wraps a handler with the authentication of operators. If write is set, operators that may only read are refused.
 func (in *Instance) operator(write bool, handle operatorHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		dir := in.config.Load()
@@ -57,7 +57,8 @@
 	if name, ok := dir.operators[digest]; ok {
 		return name, true
 	}
-	// The bootstrap token ends with the first version, so that it is no second way in for good.
+	// The bootstrap token is valid only until the first version is in force; otherwise it would remain a permanent second
+	// credential.
 	return bootstrapOperator, dir.cfg.Version == 0 && in.opts.Bootstrap == digest
 }
 
@@ -75,7 +76,7 @@
 	writeJSON(w, http.StatusOK, in.config.Load().cfg)
 }
 
-// servePatches lists the patches after the version that the query names.
+// servePatches lists the patches after the version given in the query parameter "after".
 func (in *Instance) servePatches(w http.ResponseWriter, req *http.Request, _ string) {
 	var after int64
 	if text := req.URL.Query().Get("after"); text != "" {
@@ -94,18 +95,18 @@
 	writeJSON(w, http.StatusOK, patches)
 }
 
-// PatchAccepted answers a patch.
+// PatchAccepted is the answer to an accepted patch.
 type PatchAccepted struct{ Version int64 }
 
-// PatchRefused is an error of the operator API with the version that a stale patch should have named.
+// PatchRefused is the answer to a refused patch or a failed read of the patches.
 type PatchRefused struct {
 	Code    string
 	Message string
-	// Newest is the newest version, 0 if the refusal has nothing to do with it.
+	// Newest is the newest version, on which a stale patch must be based; 0 for other errors.
 	Newest int64
 }
 
-// submitPatch appends a patch to the configuration's log.
+// submitPatch appends the operator's patch to the configuration's log.
 func (in *Instance) submitPatch(w http.ResponseWriter, req *http.Request, operator string) {
 	var patch conf.Patch
 	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxPatch)).Decode(&patch); err != nil {
@@ -141,7 +142,7 @@
 		status = http.StatusUnprocessableEntity
 		refused.Code = "BrokenPatch"
 	default:
-		// Whether a patch landed is not known; its own id makes a repeat safe.
+		// The patch may have been stored or not. Its ID makes it safe to submit it again.
 		refused.Code = "StoreUnavailable"
 		refused.Message += "; send the same request again, a patch under the same ID"
 		w.Header().Set(HeaderRan, string(effect.Unknown))
--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -12,9 +12,9 @@
 )
 
 var (
-	// Errors groups what this package returns.
+	// Errors is the namespace of the errors that this package returns.
 	Errors = errorx.NewNamespace("entry")
-	// BadOption tells that a setting cannot be used.
+	// BadOption means that a setting is invalid or cannot be used.
 	BadOption = Errors.NewType("bad_option")
 )
 
@@ -43,11 +43,11 @@
 	PeerCA        string        `long:"peer-ca" env:"DANDELIONSAIL_PEER_CA" description:"file with the certificate of the authority that signed all instances' keys; read again when it changes"`
 	PeerCert      string        `long:"peer-cert" env:"DANDELIONSAIL_PEER_CERT" description:"file with this instance's certificate; without it the instance runs without its peers"`
 	PeerKey       string        `long:"peer-key" env:"DANDELIONSAIL_PEER_KEY" description:"file with the certificate's private key"`
-	// PeerKeys go before the files; the demonstration and tests make them in memory.
+	// PeerKeys take precedence over the files. The demonstration and tests generate them in memory.
 	PeerKeys *peers.Keys `no-flag:"true"`
 }
 
-// Check returns a BadOption error that names the flag, its value and what is allowed.
+// Check validates the settings. It returns a BadOption error that names the flag, its value and what is allowed.
 func (opts *Options) Check() error {
 	for flag, address := range map[string]string{"listen": opts.Listen, "platform": opts.Platform, "store": opts.Store} {
 		if err := checkAddress(flag, address); err != nil {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// policy returns the policy of the setting; an empty one is the default.
+// policy returns the configured routing policy, or the default if none is configured. It reports whether the policy exists.
 func (opts *Options) policy() (route.Policy, bool) {
 	if opts.Policy == "" {
 		return route.Sail{}, true
@@ -127,10 +127,10 @@
 func checkAddress(flag, address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return BadOption.New("entry: --%s is %q; give an IP number and a port, such as 127.0.0.1:8080", flag, address)
+		return BadOption.New("entry: --%s is %q; give an IP address and a port, such as 127.0.0.1:8080", flag, address)
 	}
 	if net.ParseIP(host) == nil {
-		return BadOption.New("entry: --%s is %q; give the host as an IP number", flag, address)
+		return BadOption.New("entry: --%s is %q; give the host as an IP address", flag, address)
 	}
 	return nil
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -11,7 +11,7 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// OpenPeers opens the socket towards the other instances and returns its address, empty if there are no keys.
+// OpenPeers opens the UDP socket to the other instances and returns its address, or "" if no peer keys are configured.
 func (in *Instance) OpenPeers() (string, error) {
 	keys := in.opts.PeerKeys
 	if keys == nil && in.opts.PeerCert == "" {
@@ -25,30 +25,30 @@
 		}
 		keys = loaded
 	}
-	transport, err := peers.Listen(in.opts.PeerListen, keys, in.hear)
+	transport, err := peers.Listen(in.opts.PeerListen, keys, in.handlePeerMessage)
 	if err != nil {
 		return "", err
 	}
 	in.peers = transport
-	in.meterPeers()
+	in.registerPeerGauges()
 	if addr, err := netip.ParseAddrPort(transport.Address()); err == nil && !addr.Addr().IsUnspecified() {
 		in.loop.Submit(event.PeerOpened{Address: transport.Address()})
 	}
 	return transport.Address(), nil
 }
 
-// hear handles one message of a peer and returns the answer, nil if being heard is enough.
-func (in *Instance) hear(ctx context.Context, _ string, msg wire.Message) wire.Message {
+// handlePeerMessage handles one message from a peer and returns the answer, or nil if an acknowledgement is enough.
+func (in *Instance) handlePeerMessage(ctx context.Context, _ string, msg wire.Message) wire.Message {
 	switch msg := msg.(type) {
 	case wire.ConfigNews, wire.ConfigWant:
 		return in.follower.Handle(msg)
 	case wire.ClaimAsk, wire.ClaimSettle:
 		return in.claims.Handle(ctx, msg)
 	case wire.Quarantine:
-		in.hearQuarantine(msg)
+		in.applyQuarantine(msg)
 	case wire.QuarantineWant:
-		in.newcomers.add(msg.From)
-		return in.quarantines()
+		in.quarantineRequesters.add(msg.From)
+		return in.quarantineSnapshot()
 	default:
 		if ev, ok := wire.Event(msg); ok {
 			in.loop.Submit(ev)
@@ -57,42 +57,42 @@
 	return nil
 }
 
-// tell sends a message to one instance. What an instance tells itself comes back as an event of its own.
-func (in *Instance) tell(address string, msg wire.Message) {
+// sendToPeer sends a message to one instance. A message to the instance itself is handled as if a peer had sent it.
+func (in *Instance) sendToPeer(address string, msg wire.Message) {
 	if in.peers == nil || address == "" {
 		return
 	}
 	if address == in.peers.Address() {
-		// The reducer's goroutine must not wait for room in its own queue.
-		in.pending.Go(func() { in.hear(context.Background(), in.opts.Name, msg) })
+		// The reducer's goroutine calls this and would deadlock if it waited for space in its own event queue.
+		in.pending.Go(func() { in.handlePeerMessage(context.Background(), in.opts.Name, msg) })
 		return
 	}
 	in.peers.Tell(address, msg)
 }
 
-// tellAll tells every live peer.
-func (in *Instance) tellAll(msg wire.Message) {
+// broadcast sends a message to all listed peers.
+func (in *Instance) broadcast(msg wire.Message) {
 	if in.peers == nil {
 		return
 	}
-	for _, address := range *in.livePeers.Load() {
+	for _, address := range *in.listedPeers.Load() {
 		in.peers.Tell(address, msg)
 	}
 }
 
-// knowPeers takes the peers from the platform's list.
-func (in *Instance) knowPeers(listed event.InstancesListed) {
+// updatePeers takes the addresses of the peers from the platform's instance list.
+func (in *Instance) updatePeers(listed event.InstancesListed) {
 	var addresses []string
 	for _, inst := range listed.Instances {
 		if inst.Name != in.opts.Name && inst.Peer != "" {
 			addresses = append(addresses, inst.Peer)
 		}
 	}
-	in.livePeers.Store(&addresses)
+	in.listedPeers.Store(&addresses)
 }
 
-// meterPeers shows what the peers cost.
-func (in *Instance) meterPeers() {
+// registerPeerGauges registers gauges for the traffic with peers.
+func (in *Instance) registerPeerGauges() {
 	gauges := map[string]func(peers.Traffic) int64{
 		"Peers.SentBytes":     func(tf peers.Traffic) int64 { return tf.Sent },
 		"Peers.ReceivedBytes": func(tf peers.Traffic) int64 { return tf.Received },
--- a/internal/entry/perform.go
+++ b/internal/entry/perform.go
@@ -8,13 +8,13 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// perform carries out one effect; it never blocks, since the reducer's goroutine calls it.
+// perform carries out one effect. It must not block, because the reducer's goroutine calls it.
 func (in *Instance) perform(eff effect.Effect) {
 	switch eff := eff.(type) {
 	case effect.Send:
-		in.mail(eff.ID, eff)
+		in.deliver(eff.ID, eff)
 	case effect.Finish:
-		in.mail(eff.ID, eff)
+		in.deliver(eff.ID, eff)
 	case effect.Abort:
 		in.abort(eff)
 	case effect.Claim:
@@ -27,21 +27,21 @@
 	case effect.Sweep:
 		in.sweep(eff)
 	case effect.Tell:
-		in.tell(eff.Address, eff.Message)
+		in.sendToPeer(eff.Address, eff.Message)
 	case effect.TellDemand:
-		in.tell(eff.To.Peer, wire.Demand{From: in.opts.Name, Demands: eff.Demands})
+		in.sendToPeer(eff.To.Peer, wire.Demand{From: in.opts.Name, Demands: eff.Demands})
 	case effect.TellShares:
-		in.tell(eff.To.Peer, wire.Shares{Shares: eff.Shares})
+		in.sendToPeer(eff.To.Peer, wire.Shares{Shares: eff.Shares})
 	case effect.TellQuarantine:
-		in.tellQuarantine(eff)
+		in.announceQuarantine(eff)
 	case effect.CloseIdle:
 		in.upstream.CloseIdle(eff.Address)
 	case effect.Note:
-		in.note(eff)
+		in.recordNote(eff)
 	}
 }
 
-func (in *Instance) note(eff effect.Note) {
+func (in *Instance) recordNote(eff effect.Note) {
 	metrics.GetOrRegisterCounter(eff.Counter, in.Meter.Registry).Inc(1)
 	if eff.Line != "" {
 		in.log.Warn().Str("Subject", eff.Subject).Msg(eff.Line)
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -6,12 +6,12 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// plainService passes a call on to the plain service whose path it names.
+// plainService serves calls to plain services. The request's path selects the service.
 func (in *Instance) plainService(w http.ResponseWriter, req *http.Request) {
-	in.handle(w, req, in.readPlain)
+	in.handle(w, req, in.parsePlain)
 }
 
-func (in *Instance) readPlain(cl *call, dir *directory) (event.Arrived, *apiError) {
+func (in *Instance) parsePlain(cl *call, dir *directory) (event.Arrived, *apiError) {
 	service, ok := dir.plain(cl.req.URL.Path)
 	if !ok || !dir.cfg.Organisations[cl.organisation].MayUse(service) {
 		message := "no service is offered under this path; check its declaration"
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -13,74 +13,77 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// Learning the quarantine at the start.
 const (
-	// learnPeers is how many peers are asked. Each was told of every death since it started or learnt of it then.
-	learnPeers = 3
-	// learnTime bounds the wait for one of them, which delays readiness.
-	learnTime = time.Second
+	// quarantinePeers is the number of peers that an instance requests the quarantine list from when it starts. A few are
+	// enough: each peer received every announcement since its own start, and the list of earlier deaths when it started.
+	quarantinePeers = 3
+	// quarantineTimeout is the maximum wait for one of these peers. The wait delays readiness.
+	quarantineTimeout = time.Second
 )
 
-func (in *Instance) tellQuarantine(eff effect.TellQuarantine) {
-	in.tellOfQuarantine(quarantineMessage(eff.Quarantined))
+// announceQuarantine sends the peers a death that this instance observed.
+func (in *Instance) announceQuarantine(eff effect.TellQuarantine) {
+	in.broadcastQuarantine(quarantineMessage(eff.Quarantined))
 }
 
-// tellOfQuarantine tells every live peer and those that have just asked: the platform's list shows a new instance late, and
-// a resend that reaches it before would take another upstream down.
-func (in *Instance) tellOfQuarantine(msg wire.Quarantine) {
-	in.tellAll(msg)
+// broadcastQuarantine sends the entry to all listed peers and to those that have just requested the list. The platform's
+// list shows a new instance late; without the entry, a resend of the request to that instance would kill another upstream.
+func (in *Instance) broadcastQuarantine(msg wire.Quarantine) {
+	in.broadcast(msg)
 	if in.peers == nil {
 		return
 	}
-	for _, address := range in.newcomers.recent() {
-		if !slices.Contains(*in.livePeers.Load(), address) {
+	for _, address := range in.quarantineRequesters.recent() {
+		if !slices.Contains(*in.listedPeers.Load(), address) {
 			in.peers.Tell(address, msg)
 		}
 	}
 }
 
-// newcomers are the peers that asked for the quarantine of late. Its methods may be called from several goroutines.
-type newcomers struct {
-	mu    sync.Mutex
-	asked map[string]time.Time
+// requesters holds the addresses of the peers that requested the quarantine list recently. It is safe for concurrent use.
+type requesters struct {
+	mu          sync.Mutex
+	requestedAt map[string]time.Time
 }
 
 const (
-	// newcomerTime is how long one is told by its own word: the platform's list shows it by then.
-	newcomerTime = 30 * time.Second
-	// maxNewcomers bounds them, far above the instances that start within that time.
-	maxNewcomers = 1000
+	// requesterTTL is how long a requester gets announcements without being in the platform's list. By then the list shows
+	// it.
+	requesterTTL = 30 * time.Second
+	// maxRequesters is the maximum number of requesters held, far above the number of instances that start within
+	// requesterTTL.
+	maxRequesters = 1000
 )
 
-func (nc *newcomers) add(address string) {
-	nc.mu.Lock()
-	defer nc.mu.Unlock()
-	if nc.asked == nil {
-		nc.asked = map[string]time.Time{}
+func (rq *requesters) add(address string) {
+	rq.mu.Lock()
+	defer rq.mu.Unlock()
+	if rq.requestedAt == nil {
+		rq.requestedAt = map[string]time.Time{}
 	}
-	if address != "" && len(nc.asked) < maxNewcomers {
-		nc.asked[address] = time.Now()
+	if address != "" && len(rq.requestedAt) < maxRequesters {
+		rq.requestedAt[address] = time.Now()
 	}
 }
 
-// recent returns those that asked within newcomerTime and forgets the others.
-func (nc *newcomers) recent() []string {
-	nc.mu.Lock()
-	defer nc.mu.Unlock()
-	maps.DeleteFunc(nc.asked, func(_ string, at time.Time) bool { return time.Since(at) > newcomerTime })
-	return slices.Collect(maps.Keys(nc.asked))
+// recent returns the peers that made a request within requesterTTL and removes the others.
+func (rq *requesters) recent() []string {
+	rq.mu.Lock()
+	defer rq.mu.Unlock()
+	maps.DeleteFunc(rq.requestedAt, func(_ string, at time.Time) bool { return time.Since(at) > requesterTTL })
+	return slices.Collect(maps.Keys(rq.requestedAt))
 }
 
 func quarantineMessage(qr event.Quarantined) wire.Quarantine {
 	return wire.Quarantine{Digest: qr.Digest, Deaths: qr.Deaths, Lasts: time.Until(qr.Until)}
 }
 
-func (in *Instance) hearQuarantine(msg wire.Quarantine) {
+func (in *Instance) applyQuarantine(msg wire.Quarantine) {
 	in.loop.Submit(event.Quarantined{Digest: msg.Digest, Deaths: msg.Deaths, Until: time.Now().Add(msg.Lasts)})
 }
 
-// quarantines answers a peer that has just started.
-func (in *Instance) quarantines() wire.Quarantines {
+// quarantineSnapshot returns all content under suspicion or quarantine, as the answer to a peer that has just started.
+func (in *Instance) quarantineSnapshot() wire.Quarantines {
 	var known []event.Quarantined
 	in.loop.View(func(st *core.State) { known = st.Deaths() })
 	answer := wire.Quarantines{Entries: make([]wire.Quarantine, 0, len(known))}
@@ -90,30 +93,30 @@
 	return answer
 }
 
-// learnQuarantine asks some peers, once, for what took upstreams down before this instance started. The instance is not
-// ready until they answered or had their time: with every instance replaced in turn nobody would remember a poisonous
-// request, and each resend of it would take another upstream down.
-func (in *Instance) learnQuarantine(addresses []string) {
-	if in.asked {
+// fetchQuarantine requests from some peers, once, the list of content that killed upstreams before this instance started.
+// The instance is not ready until they have answered or timed out. Without this, a rolling replacement of all instances
+// would lose the quarantine, and each resend of a quarantined request would kill another upstream.
+func (in *Instance) fetchQuarantine(addresses []string) {
+	if in.quarantineRequested {
 		return
 	}
-	in.asked = true
+	in.quarantineRequested = true
 	if in.peers == nil || len(addresses) == 0 {
-		in.learned.Store(true)
+		in.quarantineReady.Store(true)
 		return
 	}
 	in.pending.Go(func() {
-		defer in.learned.Store(true)
-		for _, address := range addresses[:min(len(addresses), learnPeers)] {
-			if err := in.askQuarantine(address); err != nil {
-				in.log.Warn().Str("Peer", address).Err(err).Msg("quarantine not learnt from this peer")
+		defer in.quarantineReady.Store(true)
+		for _, address := range addresses[:min(len(addresses), quarantinePeers)] {
+			if err := in.requestQuarantine(address); err != nil {
+				in.log.Warn().Str("Peer", address).Err(err).Msg("cannot get the quarantine list from a peer")
 			}
 		}
 	})
 }
 
-func (in *Instance) askQuarantine(address string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), learnTime)
+func (in *Instance) requestQuarantine(address string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), quarantineTimeout)
 	defer cancel()
 	answer, err := in.peers.Ask(ctx, address, wire.QuarantineWant{From: in.peers.Address()})
 	if err != nil {
@@ -121,15 +124,16 @@
 	}
 	if msg, ok := answer.(wire.Quarantines); ok {
 		for _, entry := range msg.Entries {
-			in.hearQuarantine(entry)
+			in.applyQuarantine(entry)
 		}
 	}
 	return nil
 }
 
-// leaveQuarantine tells the peers once more before this instance ends, for those that were not there when it learnt.
-func (in *Instance) leaveQuarantine() {
-	for _, entry := range in.quarantines().Entries {
-		in.tellOfQuarantine(entry)
+// rebroadcastQuarantine sends the peers all entries again before this instance ends, for peers that were not running when it
+// received them.
+func (in *Instance) rebroadcastQuarantine() {
+	for _, entry := range in.quarantineSnapshot().Entries {
+		in.broadcastQuarantine(entry)
 	}
 }
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -13,34 +13,34 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// maxWatched bounds the engines that one instance reads load reports and cache events of. Those of the own failure
-// domain go first, and instances take different ones of a larger pool. At two reports a second an engine costs about
-// 1 KB a second, so a larger fleet's engines are read by few instances each.
+// maxWatched is the maximum number of engines whose load reports and cache events one instance reads. Engines in the
+// instance's own FailureDomain come first, and each instance selects different ones of a larger pool. At two reports per
+// second, one engine costs about 1 KB per second, so in a larger fleet each engine is read by few instances.
 const maxWatched = 64
 
-// followReports keeps one reader of load reports and one of cache events running for each engine watched.
-func (in *Instance) followReports(ctx context.Context, listed event.UpstreamsListed) {
+// updateReaders runs one reader of load reports and one of cache events for each selected engine, and stops the others.
+func (in *Instance) updateReaders(ctx context.Context, listed event.UpstreamsListed) {
 	wanted := map[string]bool{}
-	for _, up := range in.watched(listed) {
+	for _, up := range in.selectEngines(listed) {
 		key := up.Name + "@" + up.Address
 		wanted[key] = true
-		if in.reporters[key] == nil {
+		if in.readers[key] == nil {
 			reader, stop := context.WithCancel(ctx)
-			in.reporters[key] = stop
+			in.readers[key] = stop
 			in.pending.Go(func() { in.readReports(reader, up) })
 			in.pending.Go(func() { in.readCacheEvents(reader, up) })
 		}
 	}
-	for key, stop := range in.reporters {
+	for key, stop := range in.readers {
 		if !wanted[key] {
 			stop()
-			delete(in.reporters, key)
+			delete(in.readers, key)
 		}
 	}
 }
 
-// watched returns the engines to read from, at most maxWatched.
-func (in *Instance) watched(listed event.UpstreamsListed) []event.Upstream {
+// selectEngines returns the engines to read from, at most maxWatched. Each call selects the same ones of an unchanged list.
+func (in *Instance) selectEngines(listed event.UpstreamsListed) []event.Upstream {
 	cfg := in.config.Load().cfg
 	var engines []event.Upstream
 	for _, up := range listed.Upstreams {
@@ -51,36 +51,37 @@
 	if len(engines) <= maxWatched {
 		return engines
 	}
-	slices.SortFunc(engines, func(one, two event.Upstream) int {
-		if oneNear, twoNear := in.near(one), in.near(two); oneNear != twoNear {
-			if oneNear {
+	slices.SortFunc(engines, func(a, b event.Upstream) int {
+		if aLocal, bLocal := in.sameDomain(a), in.sameDomain(b); aLocal != bLocal {
+			if aLocal {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Compare(in.preference(one), in.preference(two))
+		return cmp.Compare(in.preference(a), in.preference(b))
 	})
 	return engines[:maxWatched]
 }
 
-func (in *Instance) near(up event.Upstream) bool {
+func (in *Instance) sameDomain(up event.Upstream) bool {
 	return up.FailureDomain == in.opts.FailureDomain
 }
 
-// preference orders the engines differently on each instance, and the same each time.
+// preference returns a hash by which each instance orders the engines differently, but always in the same way.
 func (in *Instance) preference(up event.Upstream) uint64 {
 	return xxhash.Sum64String(in.opts.Name + "/" + up.Name)
 }
 
-// stopReports ends all readers and waits for them.
-func (in *Instance) stopReports() {
-	for name, stop := range in.reporters {
+// stopReaders stops all readers and waits for all background work in pending.
+func (in *Instance) stopReaders() {
+	for name, stop := range in.readers {
 		stop()
-		delete(in.reporters, name)
+		delete(in.readers, name)
 	}
 	in.pending.Wait()
 }
 
+// readReports submits the engine's load reports to the reducer until the context ends.
 func (in *Instance) readReports(ctx context.Context, up event.Upstream) {
 	for ctx.Err() == nil {
 		limited, cancel := context.WithTimeout(ctx, max(time.Second, in.opts.LoadPeriod))
@@ -97,41 +98,42 @@
 			})
 		}
 		if err != nil && ctx.Err() == nil {
-			// Kept connections go silent together; the reports notice it before a request has to wait for it.
+			// Idle connections to an engine go silent together. A failed report shows it before a request is sent on one of
+			// them and has to wait for its timeout.
 			in.upstream.CloseIdle(up.Address)
 		}
 		delay.For(ctx, in.opts.LoadPeriod)
 	}
 }
 
-// Reading of cache events.
 const (
-	// cacheWait bounds one call, which the engine holds until there are events.
-	cacheWait = 30 * time.Second
-	// cachePause is the least time between two calls, so that a busy engine's events come in batches.
-	cachePause = 100 * time.Millisecond
-	// cacheRetry is the pause after a call that failed, as it does with engines that publish none.
-	cacheRetry = 5 * time.Second
-	// maxAdded bounds the prefixes taken over from one batch.
-	maxAdded = 4096
+	// cachePollTimeout is the timeout of one long poll, which the engine answers as soon as there are events.
+	cachePollTimeout = 30 * time.Second
+	// cachePollInterval is the pause between two polls, so that a busy engine's events arrive in batches.
+	cachePollInterval = 100 * time.Millisecond
+	// cacheRetryDelay is the pause after a failed poll. Polls always fail on engines that publish no cache events.
+	cacheRetryDelay = 5 * time.Second
+	// maxAddedPrefixes is the maximum number of added prefixes taken from one batch.
+	maxAddedPrefixes = 4096
 )
 
+// readCacheEvents submits the engine's cache events to the reducer until the context ends.
 func (in *Instance) readCacheEvents(ctx context.Context, up event.Upstream) {
 	after := int64(0)
 	for ctx.Err() == nil {
-		limited, cancel := context.WithTimeout(ctx, cacheWait)
+		limited, cancel := context.WithTimeout(ctx, cachePollTimeout)
 		batches, err := in.upstream.CacheEvents(limited, up.Address, after)
 		cancel()
 		if err != nil {
-			delay.For(ctx, cacheRetry)
+			delay.For(ctx, cacheRetryDelay)
 			continue
 		}
 		for _, batch := range batches {
 			batch.Upstream = up.Name
-			batch.Added = batch.Added[:min(len(batch.Added), maxAdded)]
+			batch.Added = batch.Added[:min(len(batch.Added), maxAddedPrefixes)]
 			in.loop.Submit(batch)
 			after = batch.Last
 		}
-		delay.For(ctx, cachePause)
+		delay.For(ctx, cachePollInterval)
 	}
 }
--- a/internal/entry/reports_test.go
+++ b/internal/entry/reports_test.go
@@ -13,8 +13,9 @@
 )
 
 func TestWatchedEnginesAreBounded(t *testing.T) {
-	// A fleet has far more engines than one instance may read reports of. Each instance reads some, first those of its
-	// own failure domain, always the same ones, and two instances read different ones.
+	// Guards against unbounded numbers of report readers in a fleet with many more engines than one instance may read from.
+	// Each instance must select engines of its own FailureDomain first and always the same ones, and two instances must
+	// select mostly different ones.
 	var listed event.UpstreamsListed
 	for i := range 600 {
 		listed.Upstreams = append(listed.Upstreams, event.Upstream{Name: fmt.Sprint(i), Service: "lyric", FailureDomain: string(rune('a' + i%2))})
@@ -26,7 +27,7 @@
 		in.config.Store(newDirectory(&decl.Config{Services: map[string]decl.Service{"lyric": {Kind: decl.KindModel}}}))
 		chosen[name] = map[string]bool{}
 		for range 2 {
-			for _, up := range in.watched(listed) {
+			for _, up := range in.selectEngines(listed) {
 				chosen[name][up.Name] = true
 				assert.Equal(t, up.FailureDomain, "a")
 			}
--- a/internal/entry/rig_test.go
+++ b/internal/entry/rig_test.go
@@ -24,7 +24,7 @@
 
 const token = "rig-token"
 
-// rig is one entry instance with upstreams of the test's own, all in this process.
+// rig runs one entry instance with a simulated platform and the test's upstreams in this process.
 type rig struct {
 	t        *testing.T
 	platform *stand.Platform
@@ -36,23 +36,24 @@
 	ended    chan error
 }
 
-// rigOptions say what differs from a quiet fleet.
+// rigOptions configure a rig.
 type rigOptions struct {
 	// Engines are run by the rig and listed before Models.
 	Engines []*stand.Engine
-	// Models and Plain serve the upstreams of each kind.
+	// Models are the handlers of the model engines.
 	Models []http.Handler
-	Plain  []http.Handler
+	// Plain are the handlers of the plain service's upstreams.
+	Plain []http.Handler
 	// Progress is the services' ProgressTimeout.
 	Progress time.Duration
-	// Via returns the address that the platform lists for an upstream's own one; nil lists it itself.
+	// Via maps an upstream's address to the one that the platform lists; nil lists the upstream's own address.
 	Via func(address string) string
 }
 
-// newRig starts everything; the test's end stops it and finds no goroutine left.
+// newRig starts the rig. When the test ends, the rig is stopped and the test fails if a goroutine is left.
 func newRig(t *testing.T, opts rigOptions) *rig {
 	t.Helper()
-	// The metrics library keeps one goroutine of its own for the whole process.
+	// The metrics library runs one goroutine for the lifetime of the process.
 	arbiter := goleak.IgnoreTopFunction("github.com/rcrowley/go-metrics.(*meterArbiter).tick")
 	leaks := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, leaks, arbiter) })
@@ -62,11 +63,11 @@
 	platform := rg.serve(rg.platform.Handler())
 	models := opts.Models
 	for _, en := range opts.Engines {
-		rg.run(en)
+		rg.runEngine(en)
 		models = append(models, en.Handler())
 	}
-	rg.list("lyric", models, opts.Via)
-	rg.list("board", opts.Plain, opts.Via)
+	rg.listUpstreams("lyric", models, opts.Via)
+	rg.listUpstreams("board", opts.Plain, opts.Via)
 	rg.configure(platform, opts)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -82,13 +83,13 @@
 	rg.stop = stop
 	go func() { rg.ended <- rg.instance.Serve(ctx, listener) }()
 	t.Cleanup(rg.end)
-	rg.ready()
+	rg.waitReady()
 	return rg
 }
 
-// end stops the instance, once.
+// end stops the instance and waits for it. Further calls do not wait again.
 func (rg *rig) end() {
-	// The server waits some seconds for connections on which it has seen no request yet.
+	// The server's shutdown waits several seconds for connections on which no request has arrived yet.
 	rg.client.CloseIdleConnections()
 	rg.stop()
 	if rg.ended != nil {
@@ -97,8 +98,8 @@
 	}
 }
 
-// run runs an engine until the test ends.
-func (rg *rig) run(en *stand.Engine) {
+// runEngine runs a simulated engine until the test ends.
+func (rg *rig) runEngine(en *stand.Engine) {
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- en.Run(ctx) }()
@@ -117,7 +118,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func (rg *rig) list(service string, handlers []http.Handler, via func(string) string) {
+func (rg *rig) listUpstreams(service string, handlers []http.Handler, via func(string) string) {
 	for i, handler := range handlers {
 		address := rg.serve(handler)
 		if via != nil {
@@ -140,7 +141,7 @@
 	assert.NilError(rg.t, conf.Seed(rg.t.Context(), platform, &cfg))
 }
 
-func (rg *rig) ready() {
+func (rg *rig) waitReady() {
 	for {
 		resp, err := rg.client.Get("http://" + rg.address + "/readyz")
 		assert.NilError(rg.t, err)
@@ -152,8 +153,8 @@
 	}
 }
 
-// empty waits until the instance holds no request any more; a test that it never becomes so ends by its time-out.
-func (rg *rig) empty() {
+// waitEmpty waits until the instance holds no requests. If that never happens, the test fails by its timeout.
+func (rg *rig) waitEmpty() {
 	for {
 		calls, requests := rg.instance.Held()
 		if calls == 0 && requests == 0 {
@@ -163,13 +164,13 @@
 	}
 }
 
-// raw sends bytes and returns what comes back as an answer.
-func (rg *rig) raw(request string) *http.Response {
+// sendRaw sends the bytes over a new connection and returns the parsed answer.
+func (rg *rig) sendRaw(request string) *http.Response {
 	rg.t.Helper()
 	conn, err := net.Dial("tcp", rg.address)
 	assert.NilError(rg.t, err)
 	rg.t.Cleanup(func() { _ = conn.Close() })
-	// The instance may answer and close before it has read all.
+	// The write may fail, because the instance may answer and close the connection before it has read everything.
 	go func() { _, _ = conn.Write([]byte(request)) }()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	assert.NilError(rg.t, err)
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -53,7 +53,7 @@
 	}
 	org := dir.cfg.Organisations[name]
 	list := modelList{Object: "list", Data: []modelEntry{}}
-	for _, model := range dir.names {
+	for _, model := range dir.modelNames {
 		if org.MayUse(dir.models[model]) {
 			list.Data = append(list.Data, modelEntry{ID: model, Object: "model", OwnedBy: dir.models[model]})
 		}
--- a/internal/entry/segments.go
+++ b/internal/entry/segments.go
@@ -15,20 +15,20 @@
 	"dandelionsail.example/dandelionsail/internal/upstr"
 )
 
-// Freeing of what engines hold for a prompt over several of them.
 const (
-	// freeTime is how long an engine that does not answer is told to free a request.
-	freeTime = 20 * time.Second
-	// freePause is the wait between two tries.
-	freePause = 250 * time.Millisecond
+	// freeTimeout is how long the instance retries the call that asks an engine to free a request.
+	freeTimeout = 20 * time.Second
+	// freeRetryDelay is the delay between two such calls.
+	freeRetryDelay = 250 * time.Millisecond
 )
 
-// segment returns the run of prompt tokens that the numbered engine of so many computes. The parts are equal with the
-// answer counted to the last one, which generates, so that each engine needs the same memory.
-func segment(number, engines int, prompt, answer int64) (from, to int64) {
+// segmentRange returns the range of prompt tokens, from inclusive to exclusive, that the engine with the given number
+// computes. The last engine also generates the answer, so the answer's tokens count towards its segment. The segments are
+// then equal in size and each engine needs the same memory.
+func segmentRange(number, engines int, prompt, answer int64) (from, to int64) {
 	count := int64(engines)
 	share := (prompt + answer + count - 1) / count
-	// The last engine has to compute one token of the prompt at least.
+	// The last engine must compute at least one token of the prompt.
 	last := prompt - 1
 	from = min(int64(number)*share, last)
 	to = min(from+share, last)
@@ -38,25 +38,26 @@
 	return from, to
 }
 
-// prefill has all engines but the last compute their segments in turn, each on top of those before, and returns the
-// handles of their exported caches. It names the engine at work in ended.
-func (in *Instance) prefill(ctx context.Context, cl *call, eff effect.Send, silence context.CancelCauseFunc, ended *event.AttemptEnded) ([]string, error) {
+// prefill has all engines but the last compute their segments one after the other, each with the caches of the previous
+// segments imported, and returns the handles of their exported caches. It sets ended.Upstream to the engine in use.
+func (in *Instance) prefill(ctx context.Context, cl *call, eff effect.Send, cancel context.CancelCauseFunc, ended *event.AttemptEnded) ([]string, error) {
 	var handles []string
 	last := len(eff.Upstreams) - 1
 	for i, up := range eff.Upstreams[:last] {
-		from, to := segment(i, len(eff.Upstreams), cl.body.PromptTokens(), cl.body.MaxTokens)
+		from, to := segmentRange(i, len(eff.Upstreams), cl.body.PromptTokens(), cl.body.MaxTokens)
 		if from == to {
 			continue
 		}
 		ended.Upstream = up.Name
 		call := cl.upstreamCall(eff)
 		call.Address = up.Address
-		// What an attempt leaves is freed by its own name, so that a late word cannot end the attempt after it.
+		// The segments carry the name of the attempt's permit instead of the request's name. Otherwise a delayed call that
+		// frees them could end the next attempt of the same request.
 		call.Request = eff.Permit
 		call.Method = http.MethodPost
 		call.Imports = handles
 		call.Body, call.Length = cl.body.Streamed()
-		handle, err := in.prefillOne(ctx, call, from, to, eff.FirstSilence, silence)
+		handle, err := in.prefillSegment(ctx, call, from, to, eff.FirstSilence, cancel)
 		if err != nil {
 			return nil, err
 		}
@@ -66,20 +67,20 @@
 	return handles, nil
 }
 
-func (in *Instance) prefillOne(ctx context.Context, call upstr.Call, from, to int64, limit time.Duration, silence context.CancelCauseFunc) (string, error) {
-	// A segment gives no sign of progress before it is whole.
-	wd := watch(silence, limit, limit)
+func (in *Instance) prefillSegment(ctx context.Context, call upstr.Call, from, to int64, limit time.Duration, cancel context.CancelCauseFunc) (string, error) {
+	// An engine gives no sign of progress before the segment is complete.
+	wd := startWatchdog(cancel, limit, limit)
 	defer wd.stop()
 	return in.upstream.Prefill(ctx, call, from, to)
 }
 
-// freeSegments frees the segments of an attempt however it ended. It waits for the engines that answer at once, so that
-// the memory is there again before the permit is given back; the others are told in the background.
+// freeSegments frees the segments of an attempt, whatever its result. It waits up to dropTimeout for the engines, so that
+// their memory is free before the permit is released. Engines that do not answer in time are retried in the background.
 func (in *Instance) freeSegments(eff effect.Send) {
 	var group sync.WaitGroup
 	for _, up := range eff.Upstreams[:len(eff.Upstreams)-1] {
 		group.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), dropTime)
+			ctx, cancel := context.WithTimeout(context.Background(), dropTimeout)
 			defer cancel()
 			if err := in.upstream.Drop(ctx, up.Address, eff.Permit); err != nil && !engineGone(err) {
 				in.free(up, eff.Permit)
@@ -89,28 +90,30 @@
 	group.Wait()
 }
 
-// free tells an engine to free a request until it answers or freeTime is over.
+// free asks an engine to free a request, and retries in the background until the engine confirms it, the engine is gone or
+// freeTimeout has passed.
 func (in *Instance) free(up event.Upstream, request string) {
 	in.pending.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), freeTime)
+		ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 		defer cancel()
 		for ctx.Err() == nil {
 			err := in.upstream.Drop(ctx, up.Address, request)
 			if err == nil || engineGone(err) {
 				return
 			}
-			delay.For(ctx, freePause)
+			delay.For(ctx, freeRetryDelay)
 		}
 	})
 }
 
-// engineGone tells that nothing listens at the engine's address: its process has ended and its memory with it.
+// engineGone reports whether the error means that nothing listens at the engine's address. Its process has then ended and
+// its memory is free.
 func engineGone(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// sweep frees what engines still hold for a request whose holder died: the segments under the permit's name and the
-// answer under the request's own.
+// sweep frees what engines still hold for a request whose instance died: the segments, which carry the permit's name, and
+// the answer, which carries the request's name.
 func (in *Instance) sweep(eff effect.Sweep) {
 	request, _, _ := strings.Cut(eff.Request, effect.PermitMark)
 	for _, up := range eff.Upstreams {
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -14,14 +14,14 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// statePeriod is how often the parts that keep state look at the fleet.
-const statePeriod = time.Second
+// coordinationPeriod is the time between two updates of the fleet's members and of the pools that this instance coordinates.
+const coordinationPeriod = time.Second
 
-// defaultWeightLoads is the weight store's rate where the setting is 0.
+// defaultWeightLoads is the weight store's rate, in loads per minute, if the setting is 0.
 const defaultWeightLoads = 30
 
-// joinState lets the configuration and the claims reach the peers.
-func (in *Instance) joinState() {
+// attachPeerTransport lets the configuration's follower and the claims communicate with the peers.
+func (in *Instance) attachPeerTransport() {
 	if in.peers == nil {
 		return
 	}
@@ -30,50 +30,53 @@
 	in.claims.Transport = in.peers
 }
 
+// newKeeper returns the keeper that coordinates the pools whose leases this instance holds.
 func (in *Instance) newKeeper() *order.Keeper {
 	self := event.Instance{Name: in.opts.Name, FailureDomain: in.opts.FailureDomain}
 	weights := order.NewWeights(in.store, in.run, cmp.Or(in.opts.WeightLoads, defaultWeightLoads))
 	keeper := order.NewKeeper(self, in.leases, weights, in.upstream)
-	keeper.Given = in.orderGiven
-	keeper.Waited = func(string) { in.countState("Orders.Waited") }
+	keeper.Given = in.recordOrder
+	keeper.Waited = func(string) { in.incCounter("Orders.Waited") }
 	return keeper
 }
 
-func (in *Instance) countState(counter string) {
+func (in *Instance) incCounter(counter string) {
 	metrics.GetOrRegisterCounter(counter, in.Meter.Registry).Inc(1)
 }
 
-func (in *Instance) orderGiven(pool string, snd *order.Send, err error) {
+// recordOrder counts and logs an order that was sent to an upstream.
+func (in *Instance) recordOrder(pool string, snd *order.Send, err error) {
 	if err != nil {
-		in.countState("Orders.Failed")
+		in.incCounter("Orders.Failed")
 	} else {
-		in.countState("Orders.Given")
+		in.incCounter("Orders.Given")
 	}
 	in.log.Info().Str("Pool", pool).Str("Upstream", snd.Replica.Name).Strs("Models", snd.Order.Models).
 		Int64("Fence", snd.Order.Fence).Err(err).Msg("order given")
 }
 
-// stateGauges shows which parts this instance has and whether its claims get answers.
+// stateGauges updates the gauges that show whether this instance watches the configuration, how many leases it holds and
+// whether claims in the key-value service fail.
 func (in *Instance) stateGauges() {
-	in.gauge("Config.Watches", one(in.follower.Watches()))
+	in.gauge("Config.Watches", boolGauge(in.follower.Watches()))
 	in.gauge("Leases.Held", int64(len(in.leases.Names())))
-	in.gauge("Claims.StoreFailing", one(in.claims.Failing()))
+	in.gauge("Claims.StoreFailing", boolGauge(in.claims.Failing()))
 }
 
-func one(is bool) int64 {
+func boolGauge(is bool) int64 {
 	if is {
 		return 1
 	}
 	return 0
 }
 
-// keepState tells the configuration and the claims who lives, and gives the orders of the pools held here, until the
-// context ends.
-func (in *Instance) keepState(ctx context.Context) error {
+// runCoordination passes the list of live instances to the configuration's follower and the claims, and sends the orders of
+// the pools that this instance coordinates, until the context ends.
+func (in *Instance) runCoordination(ctx context.Context) error {
 	keeper := in.newKeeper()
 	var failing bool
 	var known []event.Instance
-	ticker := time.NewTicker(statePeriod)
+	ticker := time.NewTicker(coordinationPeriod)
 	defer ticker.Stop()
 	for {
 		select {
@@ -85,11 +88,12 @@
 			failing = !failing
 			in.log.Warn().Bool("Failing", failing).Msg("claims in the key-value service changed state")
 		}
-		view, ok := in.look()
+		view, ok := in.fleetView()
 		if !ok {
 			continue
 		}
-		// Ranking hundreds of instances for each shard every second would cost more than all else here.
+		// The members are set only when they changed: ranking hundreds of instances for each shard every second would cost
+		// more than everything else in this loop.
 		if known == nil || !slices.Equal(known, view.Instances) {
 			known = view.Instances
 			in.follower.SetMembers(known)
@@ -103,12 +107,13 @@
 	}
 }
 
-// look copies what the reducer knows of the fleet, of the replicas those whose pools may fall to this instance.
-func (in *Instance) look() (order.View, bool) {
+// fleetView returns a copy of the reducer's view of the fleet. Of the replicas it contains only those whose pools this
+// instance may have to coordinate. It returns false if the reducer's loop has ended.
+func (in *Instance) fleetView() (order.View, bool) {
 	view := order.View{Services: map[string]decl.Service{}, Instances: []event.Instance{}}
 	ok := in.loop.View(func(st *core.State) {
 		view.Instances = append(view.Instances, st.Instances...)
-		served := domains(view.Instances)
+		served := liveDomains(view.Instances)
 		for name, svc := range st.Config.Services {
 			if !order.States(svc) {
 				continue
@@ -127,8 +132,8 @@
 	return view, ok
 }
 
-// domains returns the failure domains that have a live instance.
-func domains(instances []event.Instance) map[string]bool {
+// liveDomains returns the failure domains that have at least one instance that is not leaving.
+func liveDomains(instances []event.Instance) map[string]bool {
 	served := map[string]bool{}
 	for _, inst := range instances {
 		if !inst.Leaving {
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -13,23 +13,23 @@
 	"dandelionsail.example/dandelionsail/internal/route"
 )
 
-// Status is what one instance knows and does.
+// Status is the state of one instance and its view of the fleet.
 type Status struct {
 	Instance      string
 	FailureDomain string
 	At            time.Time
-	// Version is the configuration in force here.
+	// Version is the version of the configuration in force in this instance.
 	Version  int64
 	Ready    bool
 	Draining bool
-	// Requests counts the requests here by phase.
+	// Requests is the number of this instance's requests by phase.
 	Requests  map[string]int
 	Instances []event.Instance
 	Upstreams []UpstreamStatus
-	// Pools names the coordinators as this instance knows them.
+	// Pools lists the pools with their coordinators as this instance sees them.
 	Pools      []core.Pool
 	Quarantine []QuarantineStatus
-	// Peers counts what was said with other instances since the start.
+	// Peers is the traffic with other instances since the start.
 	Peers peers.Traffic
 }
 
@@ -43,19 +43,21 @@
 	State string
 	// Why explains a state other than Live.
 	Why string
-	// Running and Tokens are this instance's own work there.
+	// Running is the number of this instance's own requests in flight there.
 	Running int64
-	Tokens  int64
-	Load    event.Load
-	// LoadAge is how old the load report is, empty before the first.
+	// Tokens is the number of tokens of these requests.
+	Tokens int64
+	Load   event.Load
+	// LoadAge is the age of the load report as a duration, empty before the first report.
 	LoadAge string
 	Role    string
 	Models  []string
 }
 
-// QuarantineStatus is one content that is refused.
+// QuarantineStatus is content whose requests are refused.
 type QuarantineStatus struct {
 	Digest string
+	// Deaths is the number of upstreams that died with such a request in flight.
 	Deaths int
 	Until  time.Time
 }
@@ -87,15 +89,15 @@
 	if in.peers != nil {
 		status.Peers = in.peers.Traffic()
 	}
-	if !in.loop.View(status.look) {
+	if !in.loop.View(status.fill) {
 		http.Error(w, "the instance is stopping", http.StatusServiceUnavailable)
 		return
 	}
 	writeJSON(w, http.StatusOK, status)
 }
 
-// look copies from the reducer's state, on its goroutine.
-func (sts *Status) look(st *core.State) {
+// fill copies the reducer's state into the status. It runs on the reducer's goroutine.
+func (sts *Status) fill(st *core.State) {
 	sts.Version = st.Config.Version
 	sts.Instances = slices.Clone(st.Instances)
 	for _, req := range st.Requests {
@@ -104,7 +106,7 @@
 	for _, rep := range st.Route.Replicas {
 		sts.Upstreams = append(sts.Upstreams, sts.upstream(rep))
 	}
-	slices.SortFunc(sts.Upstreams, func(one, two UpstreamStatus) int { return strings.Compare(one.Name, two.Name) })
+	slices.SortFunc(sts.Upstreams, func(a, b UpstreamStatus) int { return strings.Compare(a.Name, b.Name) })
 	sts.Pools = st.Pools()
 	for _, entry := range st.Quarantine() {
 		sts.Quarantine = append(sts.Quarantine, QuarantineStatus{
--- a/internal/entry/tls.go
+++ b/internal/entry/tls.go
@@ -7,7 +7,7 @@
 	"dandelionsail.example/dandelionsail/internal/peers"
 )
 
-// serveCallers serves the callers' side, over TLS if a certificate is set.
+// serveCallers serves callers on the listener, over TLS if a certificate is configured.
 func (in *Instance) serveCallers(server *http.Server, listener net.Listener) error {
 	if in.opts.TLSCert == "" {
 		return ignoreClosed(server.Serve(listener))
--- a/internal/entry/tls_test.go
+++ b/internal/entry/tls_test.go
@@ -17,7 +17,8 @@
 )
 
 func TestCallersOverTLS(t *testing.T) {
-	// A caller that trusts the authority is served over TLS, and one that speaks plain HTTP is not.
+	// With a certificate configured, a caller that trusts its authority must be served over TLS, and a caller that uses
+	// plain HTTP must be refused.
 	authority, err := certs.New()
 	assert.NilError(t, err)
 	files, err := authority.Write(t.TempDir(), "entry-0")
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -7,61 +7,64 @@
 	"time"
 )
 
-// errSilent is the cause with which an attempt without progress is cancelled.
-var errSilent = errors.New("entry: the upstream made no progress in its time")
+// errSilent is the cancellation cause of an attempt whose upstream made no progress.
+var errSilent = errors.New("entry: the upstream made no progress within its time limit")
 
-// watchdog cancels an attempt whose upstream makes no progress. A connection can stay open though something between
-// the two ends has lost track of it: no error ever comes, and the caller would wait until its deadline.
+// watchdog cancels an attempt whose upstream makes no progress. A connection can stay open although something on the path
+// between the two ends has lost its state. No error ever occurs then, and without the watchdog the caller would wait until
+// its deadline.
 type watchdog struct {
 	cancel context.CancelCauseFunc
-	// period is the longest time between two signs of progress.
+	// period is the maximum time between two signs of progress.
 	period time.Duration
 
 	mu    sync.Mutex
 	timer *time.Timer
-	// since is when the upstream was last heard, and limit how long it may be silent now; a limit of 0 holds the
-	// watchdog, because the caller is the one waited for.
-	since time.Time
+	// lastProgress is the time of the last sign of progress, or of the start.
+	lastProgress time.Time
+	// limit is how long the upstream may currently be silent. 0 suspends the watchdog, because the attempt is waiting for
+	// the caller.
 	limit time.Duration
-	// heard tells that there was progress at least once.
-	heard bool
+	// progressed means that there was progress at least once.
+	progressed bool
+	// ended means that the watchdog was stopped or has cancelled the attempt.
 	ended bool
 }
 
-// watch starts a watchdog; first is the longest time before the first sign of progress, or 0 for the period.
-func watch(cancel context.CancelCauseFunc, first, period time.Duration) *watchdog {
+// startWatchdog starts a watchdog. first is the maximum time until the first sign of progress; 0 means the period.
+func startWatchdog(cancel context.CancelCauseFunc, first, period time.Duration) *watchdog {
 	if first <= 0 {
 		first = period
 	}
-	wd := &watchdog{cancel: cancel, period: period, since: time.Now(), limit: first}
+	wd := &watchdog{cancel: cancel, period: period, lastProgress: time.Now(), limit: first}
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
 	wd.timer = time.AfterFunc(first, wd.check)
 	return wd
 }
 
-// progress notes that the upstream was heard. After the first time the timer is left as it is and looks again when it
-// fires, since a reset for each chunk would cost more than the chunk.
+// progress records a sign of progress. Only the first one resets the timer; afterwards the timer checks the time of the last
+// progress when it fires, because a reset for each chunk would cost more than the chunk.
 func (wd *watchdog) progress() {
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
-	wd.since = time.Now()
+	wd.lastProgress = time.Now()
 	wd.limit = wd.period
-	if !wd.heard && !wd.ended {
-		wd.heard = true
+	if !wd.progressed && !wd.ended {
+		wd.progressed = true
 		wd.timer.Reset(wd.period)
 	}
 }
 
-// hold stops the watch while the caller is being written to.
-func (wd *watchdog) hold() {
+// suspend suspends the watchdog until the next sign of progress, while the attempt writes to the caller.
+func (wd *watchdog) suspend() {
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
 	wd.limit = 0
 }
 
-// expect shortens the time that is left for the first sign of progress.
-func (wd *watchdog) expect(limit time.Duration) {
+// shortenLimit lowers the limit for the first sign of progress and restarts the timer with it. A higher limit has no effect.
+func (wd *watchdog) shortenLimit(limit time.Duration) {
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
 	if wd.ended || limit >= wd.limit {
@@ -71,7 +74,8 @@
 	wd.timer.Reset(limit)
 }
 
-// check cancels the attempt if the upstream has been silent for too long, and else looks again when it could be.
+// check cancels the attempt if the upstream has been silent for too long. Otherwise it resets the timer to the earliest time
+// at which that can be the case.
 func (wd *watchdog) check() {
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
@@ -82,7 +86,7 @@
 		wd.timer.Reset(wd.period)
 		return
 	}
-	left := wd.limit - time.Since(wd.since)
+	left := wd.limit - time.Since(wd.lastProgress)
 	if left <= 0 {
 		wd.ended = true
 		wd.cancel(errSilent)
@@ -91,7 +95,7 @@
 	wd.timer.Reset(left)
 }
 
-// stop ends the watch.
+// stop stops the watchdog for good.
 func (wd *watchdog) stop() {
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
--- a/internal/entry/whole_test.go
+++ b/internal/entry/whole_test.go
@@ -21,37 +21,38 @@
 	"dandelionsail.example/dandelionsail/internal/upstr"
 )
 
-// mixer is an engine whose output queue mixes things up: chunks come crossed with another request's, repeated, late or
-// not at all, and connections break. Each fault has a share of the chunks.
-type mixer struct {
+// faultyEngine is an engine with a faulty output queue: it sends chunks of another request, repeats, delays or drops chunks,
+// skips ahead, and breaks connections. Each fault occurs with faultProbability.
+type faultyEngine struct {
 	seed  uint64
 	last  atomic.Pointer[string]
 	calls atomic.Uint64
 }
 
-const faultShare = 0.02
+// faultProbability is the probability of each kind of fault before a token.
+const faultProbability = 0.02
 
-func (mx *mixer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (fe *faultyEngine) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	raw, err := io.ReadAll(req.Body)
 	bd, scanned := body.Scan(raw)
 	if err != nil || scanned != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	st := &mixedStream{
+	st := &faultyStream{
 		w: w, bd: bd, id: req.Header.Get(upstr.HeaderRequest),
-		random: rand.New(rand.NewPCG(mx.seed, mx.calls.Add(1))),
+		random: rand.New(rand.NewPCG(fe.seed, fe.calls.Add(1))),
 	}
-	// A resumed request has the name of its first attempt; that one's chunks are not another's.
-	if other := mx.last.Swap(&st.id); other != nil && *other != st.id {
+	// A resumed request has the same name as its first attempt, whose chunks are not those of another request.
+	if other := fe.last.Swap(&st.id); other != nil && *other != st.id {
 		st.other = *other
 	}
 	from, _ := strconv.ParseInt(req.Header.Get(upstr.HeaderOffset), 10, 64)
 	st.write(from)
 }
 
-// mixedStream is one answer of a mixer.
-type mixedStream struct {
+// faultyStream is one answer of a faultyEngine.
+type faultyStream struct {
 	w      http.ResponseWriter
 	bd     *body.Body
 	id     string
@@ -59,24 +60,24 @@
 	random *rand.Rand
 }
 
-func (st *mixedStream) write(from int64) {
+func (st *faultyStream) write(from int64) {
 	for token := from; token <= st.bd.MaxTokens; token++ {
 		switch {
-		case st.hit():
+		case st.injectFault():
 			st.chunk(st.other, token, "another's")
-		case st.hit():
+		case st.injectFault():
 			st.chunk(st.other, token, "[DONE]")
-		case st.hit():
+		case st.injectFault():
 			st.token(token)
-		case st.hit():
+		case st.injectFault():
 			st.token(token + 1)
-		case st.hit():
+		case st.injectFault():
 			continue
-		case st.hit():
+		case st.injectFault():
 			_, _ = io.WriteString(st.w, "id: "+st.id+"/"+strconv.FormatInt(token, 10)+"\ndata: cut")
 			_ = http.NewResponseController(st.w).Flush()
 			panic(http.ErrAbortHandler)
-		case st.hit():
+		case st.injectFault():
 			_ = http.NewResponseController(st.w).Flush()
 			time.Sleep(time.Millisecond)
 		}
@@ -84,12 +85,13 @@
 	}
 }
 
-func (st *mixedStream) hit() bool {
-	return st.random.Float64() < faultShare
+// injectFault reports whether to inject a fault now.
+func (st *faultyStream) injectFault() bool {
+	return st.random.Float64() < faultProbability
 }
 
-// token writes a token of the answer, or the end marker behind the last one.
-func (st *mixedStream) token(token int64) {
+// token writes one token of the answer, or the end marker after the last one.
+func (st *faultyStream) token(token int64) {
 	if token >= st.bd.MaxTokens {
 		st.chunk(st.id, st.bd.MaxTokens, "[DONE]")
 		return
@@ -103,16 +105,17 @@
 	st.chunk(st.id, token, fmt.Sprintf(`{"choices":[{"index":0,%q:%s,"finish_reason":null}]}`, kind, text))
 }
 
-func (st *mixedStream) chunk(id string, offset int64, data string) {
+func (st *faultyStream) chunk(id string, offset int64, data string) {
 	_, _ = fmt.Fprintf(st.w, "id: %s/%d\ndata: %s\n\n", id, offset, data)
 }
 
 func TestAnswersAreWholeAndOwn(t *testing.T) {
-	// Thousands of callers stream at once, or want the answer whole, as text and as chat. Their engines cross, repeat,
-	// delay and lose chunks, end streams with another's marker, and cut connections within an event.
-	// Each caller gets every token of its own answer once and in order, since what is missing is resumed from elsewhere.
+	// Guards against answers that are incomplete or contain parts of another caller's answer. Thousands of callers request
+	// streamed or unstreamed answers, as text and as chat, at the same time. Their engines mix up, repeat, delay and drop
+	// chunks, end streams with the marker of another request, and break connections within an event. Each caller must get
+	// every token of its own answer once and in order, because the missing part is resumed at another engine.
 	const streams, wholes, tokens = 2000, 300, 40
-	rg := newRig(t, rigOptions{Models: []http.Handler{&mixer{seed: 1}, &mixer{seed: 2}, &mixer{seed: 3}}})
+	rg := newRig(t, rigOptions{Models: []http.Handler{&faultyEngine{seed: 1}, &faultyEngine{seed: 2}, &faultyEngine{seed: 3}}})
 	var group sync.WaitGroup
 	results := make(chan string, streams+wholes)
 	for number := range streams {
@@ -122,18 +125,19 @@
 		})
 	}
 	for number := range wholes {
-		group.Go(func() { results <- rg.whole(number, tokens) })
+		group.Go(func() { results <- rg.completeUnstreamed(number, tokens) })
 	}
 	group.Wait()
 	close(results)
 	for result := range results {
 		assert.Equal(t, result, "Whole ")
 	}
-	rg.empty()
+	rg.waitEmpty()
 }
 
-// whole asks for an answer in one piece, as chat if the number is odd, and checks it.
-func (rg *rig) whole(number int, tokens int64) string {
+// completeUnstreamed requests an answer without streaming, as chat if the number is odd, and checks it. It returns "Whole "
+// for a correct answer and otherwise a description of the fault.
+func (rg *rig) completeUnstreamed(number int, tokens int64) string {
 	prompt := load.Prompt(50, uint64(1_000_000+number))
 	path, document := "/v1/completions", fmt.Sprintf(`{"model":"lyric","prompt":%q,"max_tokens":%d}`, prompt, tokens)
 	if number%2 == 1 {
