--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,5 +1,6 @@
-// Package lease holds named leases in the platform's key-value service, each with a fencing number. All leases of one
-// instance hang on one lease of the service, so that renewing costs the same however many it holds.
+// Package lease acquires and renews named leases in the platform's key-value service, each with a fencing number. All
+// names of one instance are bound to one lease of the service, so that the cost of a renewal does not depend on the
+// number of names held.
 package lease
 
 import (
@@ -15,31 +16,32 @@
 )
 
 const (
-	// Prefix is where the names are kept.
+	// Prefix is the key prefix of the names in the key-value service.
 	Prefix = "dandelionsail/lease/"
-	// TTL is when the service ends a lease that is not renewed.
+	// TTL is the time after which the service ends a lease that is not renewed.
 	TTL = 15 * time.Second
-	// Margin is how long before that its holder stops to act under it.
+	// Margin is how long before the end of the TTL a holder that could not renew stops acting under the lease.
 	Margin = 5 * time.Second
-	// renewPeriod leaves two tries before the holder has to stop.
+	// renewPeriod is the time between two renewals. Two of them fit in before the holder has to stop acting, which is
+	// TTL - Margin after the last successful one; a failed renewal is retried at the next step.
 	renewPeriod = 4 * time.Second
-	// takePeriod is how often a name that another holds is tried again.
-	takePeriod = 5 * time.Second
-	// stepPeriod is how often a holder looks what is due.
+	// acquirePeriod is the time between two attempts to acquire a name that another instance holds.
+	acquirePeriod = 5 * time.Second
+	// stepPeriod is how often a holder checks for leases to renew, acquire or release.
 	stepPeriod = time.Second
-	// lastWrites bounds what a holder that stops spends on giving back.
-	lastWrites = time.Second
+	// releaseTimeout limits how long a holder that shuts down takes to release its leases.
+	releaseTimeout = time.Second
 )
 
-// Held is a lease that is held.
+// Held describes a lease that this instance holds.
 type Held struct {
-	// Fence is the fencing number: the service's revision at which the name was taken, higher for each new holder.
+	// Fence is the fencing number: the service's revision at which the name was acquired, higher for each new holder.
 	Fence int64
-	// Since is when the name was taken.
+	// Since is when the name was acquired.
 	Since time.Time
 }
 
-// Holder holds the leases of one instance.
+// Holder acquires, renews and releases the leases of one instance.
 type Holder struct {
 	st    store.Store
 	nonce string
@@ -47,36 +49,40 @@
 	mu     sync.Mutex
 	wanted map[string]bool
 	held   map[string]Held
-	// dropped are held names to be given back.
+	// dropped contains the held names that Drop marked for release.
 	dropped map[string]bool
-	// until is when the holder has to stop, by the monotonic clock; wall is the same by the wall clock, which alone
-	// goes on while a virtual machine is suspended.
+	// until is when the holder has to stop acting under its leases, by the monotonic clock.
 	until time.Time
-	wall  time.Time
+	// untilWall is the same moment by the wall clock, the only one of the two that advances while a virtual machine is
+	// suspended.
+	untilWall time.Time
 
-	// The rest belongs to Run. lease is the service's, 0 if there is none.
+	// The fields below are not guarded by mu; only Run uses them.
+
+	// lease is the service's lease to which all held names are bound, 0 if there is none.
 	lease store.LeaseID
-	// renewAt is when to renew; tried is when each name was last tried.
+	// renewAt is when the lease is due for renewal.
 	renewAt time.Time
-	tried   map[string]time.Time
-	// unsure are names whose write had no clear answer.
-	unsure map[string]bool
+	// triedAt is the time of the last attempt to acquire each name.
+	triedAt map[string]time.Time
+	// uncertain contains the names for which the outcome of the last write is unknown.
+	uncertain map[string]bool
 }
 
-// New returns a holder that holds nothing. The nonce names this run of the instance and no other.
+// New returns a holder without leases. The nonce must be unique to this run of the instance.
 func New(st store.Store, nonce string) *Holder {
 	return &Holder{
-		st:      st,
-		nonce:   nonce,
-		wanted:  map[string]bool{},
-		held:    map[string]Held{},
-		dropped: map[string]bool{},
-		tried:   map[string]time.Time{},
-		unsure:  map[string]bool{},
+		st:        st,
+		nonce:     nonce,
+		wanted:    map[string]bool{},
+		held:      map[string]Held{},
+		dropped:   map[string]bool{},
+		triedAt:   map[string]time.Time{},
+		uncertain: map[string]bool{},
 	}
 }
 
-// Want replaces the names that the holder tries to hold; others are given back.
+// Want replaces the set of names that the holder tries to hold. Names that are no longer in it are released.
 func (hd *Holder) Want(names []string) {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
@@ -86,26 +92,27 @@
 	}
 }
 
-// Check reports whether the lease is held right now. It is to be asked right before each act under the lease: between
-// an earlier look and the act this process may have been paused, and another may hold the lease by now. What still
-// leaves after a pause between this answer and the act is stopped by the fencing number, or seen at the next holder's
-// look.
+// Check reports whether the lease is held right now. Call it immediately before each action under the lease: the process
+// may have been paused since an earlier check, and another instance may hold the lease by now. An action that is still
+// sent after a pause between Check and the action is rejected by its fencing number, or noticed when the next holder
+// checks the state.
 func (hd *Holder) Check(name string) (Held, bool) {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
 	held, ok := hd.held[name]
 	now := time.Now()
-	return held, ok && !hd.dropped[name] && now.Before(hd.until) && now.Round(0).Before(hd.wall)
+	return held, ok && !hd.dropped[name] && now.Before(hd.until) && now.Round(0).Before(hd.untilWall)
 }
 
-// Drop gives back a lease whose fencing number an upstream refused, to take it anew with a higher one if it is free.
+// Drop releases a lease whose fencing number an upstream refused. While the name is wanted, the holder acquires it again
+// with a higher number if it is free.
 func (hd *Holder) Drop(name string) {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
 	hd.dropped[name] = true
 }
 
-// Names returns what is held right now.
+// Names returns the names of the leases held right now, sorted.
 func (hd *Holder) Names() []string {
 	hd.mu.Lock()
 	names := slices.Sorted(maps.Keys(hd.held))
@@ -116,7 +123,7 @@
 	})
 }
 
-// Run takes, renews and gives back until the context ends, and then gives everything back.
+// Run acquires, renews and releases leases until the context ends, and then releases all of them.
 func (hd *Holder) Run(ctx context.Context) error {
 	ticker := time.NewTicker(stepPeriod)
 	defer ticker.Stop()
@@ -124,37 +131,38 @@
 		hd.step(ctx)
 		select {
 		case <-ctx.Done():
-			hd.leave(ctx)
+			hd.shutdown(ctx)
 			return ctx.Err()
 		case <-ticker.C:
 		}
 	}
 }
 
-// leave gives everything back after the context has ended.
-func (hd *Holder) leave(ctx context.Context) {
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastWrites)
+// shutdown releases all leases after the context has ended.
+func (hd *Holder) shutdown(ctx context.Context) {
+	releaseCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
-	hd.giveUp(last)
+	hd.releaseAll(releaseCtx)
 }
 
 func (hd *Holder) step(ctx context.Context) {
 	if hd.lease != 0 {
 		hd.renew(ctx)
 	}
-	for _, name := range hd.unwanted() {
-		hd.giveBack(ctx, name)
+	for _, name := range hd.namesToRelease() {
+		hd.release(ctx, name)
 	}
-	wanted, held := hd.names()
-	for name := range hd.unsure {
+	wanted, held := hd.wantedAndHeld()
+	for name := range hd.uncertain {
 		if !slices.Contains(wanted, name) {
-			// The name may be ours without our knowing; kept alive by the renewals it would bar everyone else.
-			hd.giveUp(ctx)
+			// This instance may own the name without knowing it. Renewals would then keep the name alive and block all
+			// other instances from acquiring it.
+			hd.releaseAll(ctx)
 			return
 		}
 	}
 	if len(wanted) == 0 {
-		hd.giveUp(ctx)
+		hd.releaseAll(ctx)
 		return
 	}
 	if hd.lease == 0 && !hd.grant(ctx) {
@@ -162,13 +170,13 @@
 	}
 	for _, name := range wanted {
 		if !slices.Contains(held, name) {
-			hd.take(ctx, name)
+			hd.acquire(ctx, name)
 		}
 	}
 }
 
-// unwanted returns what is held and is to be given back.
-func (hd *Holder) unwanted() []string {
+// namesToRelease returns the held names that are no longer wanted or were dropped.
+func (hd *Holder) namesToRelease() []string {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
 	var names []string
@@ -180,18 +188,19 @@
 	return names
 }
 
-func (hd *Holder) names() (wanted, held []string) {
+func (hd *Holder) wantedAndHeld() (wanted, held []string) {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
 	return slices.Sorted(maps.Keys(hd.wanted)), slices.Sorted(maps.Keys(hd.held))
 }
 
-// extend moves the time to stop; started is taken before the call that extended the lease at the service.
+// extend moves the time at which the holder has to stop acting. started must be read before the call that granted or
+// renewed the lease, so that the holder stops no later than TTL - Margin after the service restarted the TTL.
 func (hd *Holder) extend(started time.Time) {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
 	hd.until = started.Add(TTL - Margin)
-	hd.wall = hd.until.Round(0)
+	hd.untilWall = hd.until.Round(0)
 	hd.renewAt = started.Add(renewPeriod)
 }
 
@@ -206,7 +215,7 @@
 	return true
 }
 
-// renew extends the lease when it is due. One that ended, or that could not be renewed in time, is lost with all names.
+// renew renews the lease when it is due. If the lease has ended, or could not be renewed in time, all names are lost.
 func (hd *Holder) renew(ctx context.Context) {
 	started := time.Now()
 	if started.Before(hd.renewAt) {
@@ -217,69 +226,70 @@
 	case err == nil:
 		hd.extend(started)
 	case errorx.IsOfType(err, store.Missing), !time.Now().Before(hd.until):
-		hd.lose()
+		hd.forgetLease()
 	}
 }
 
-// lose forgets the lease. What is left of it at the service ends by itself.
-func (hd *Holder) lose() {
+// forgetLease clears all local state of the lease. What remains at the service expires with the TTL.
+func (hd *Holder) forgetLease() {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
 	hd.held = map[string]Held{}
 	hd.dropped = map[string]bool{}
 	hd.until = time.Time{}
 	hd.lease = 0
-	clear(hd.unsure)
-	clear(hd.tried)
+	clear(hd.uncertain)
+	clear(hd.triedAt)
 }
 
-// giveUp gives everything back.
-func (hd *Holder) giveUp(ctx context.Context) {
+// releaseAll revokes the lease and with it all names.
+func (hd *Holder) releaseAll(ctx context.Context) {
 	lease := hd.lease
-	hd.lose()
+	hd.forgetLease()
 	if lease != 0 {
 		_ = hd.st.Revoke(ctx, lease)
 	}
 }
 
-func (hd *Holder) giveBack(ctx context.Context, name string) {
+func (hd *Holder) release(ctx context.Context, name string) {
 	hd.mu.Lock()
 	held := hd.held[name]
 	delete(hd.held, name)
 	delete(hd.dropped, name)
-	delete(hd.tried, name)
+	delete(hd.triedAt, name)
 	hd.mu.Unlock()
 	if hd.st.Delete(ctx, Prefix+name, held.Fence) != nil {
-		hd.unsure[name] = true
+		hd.uncertain[name] = true
 	}
 }
 
-// take tries to become the holder of the name.
-func (hd *Holder) take(ctx context.Context, name string) {
-	if last, ok := hd.tried[name]; ok && time.Since(last) < takePeriod && !hd.unsure[name] {
+// acquire tries to become the holder of the name. If the outcome of an earlier write is unknown, it reads the name to find
+// out whether this run already owns it.
+func (hd *Holder) acquire(ctx context.Context, name string) {
+	if last, ok := hd.triedAt[name]; ok && time.Since(last) < acquirePeriod && !hd.uncertain[name] {
 		return
 	}
-	hd.tried[name] = time.Now()
+	hd.triedAt[name] = time.Now()
 	pair, err := hd.st.Swap(ctx, Prefix+name, []byte(hd.nonce), 0, hd.lease)
-	if errorx.IsOfType(err, store.Conflict) && hd.unsure[name] {
+	if errorx.IsOfType(err, store.Conflict) && hd.uncertain[name] {
 		pair, err = hd.st.Get(ctx, Prefix+name)
 		if err == nil && (string(pair.Value) != hd.nonce || pair.Lease != hd.lease) {
-			delete(hd.unsure, name)
+			delete(hd.uncertain, name)
 			return
 		}
 	}
 	switch {
 	case err == nil:
-		delete(hd.unsure, name)
-		hd.keep(name, pair.Revision)
+		delete(hd.uncertain, name)
+		hd.setHeld(name, pair.Revision)
 	case errorx.IsOfType(err, store.Unavailable):
-		hd.unsure[name] = true
+		hd.uncertain[name] = true
 	case errorx.IsOfType(err, store.Missing):
-		hd.lose()
+		hd.forgetLease()
 	}
 }
 
-func (hd *Holder) keep(name string, fence int64) {
+func (hd *Holder) setHeld(name string, fence int64) {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
 	hd.held[name] = Held{Fence: fence, Since: time.Now()}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -14,18 +14,18 @@
 	"dandelionsail.example/dandelionsail/internal/store"
 )
 
-// paused is a store whose caller stops at its next call for as long as stop lasts, as a frozen process does.
-type paused struct {
+// pausingStore delays each renewal by pause, which stands for a process that is frozen for that time.
+type pausingStore struct {
 	store.Store
-	stop atomic.Int64
+	pause atomic.Int64
 }
 
-func (ps *paused) Renew(ctx context.Context, id store.LeaseID) error {
-	time.Sleep(time.Duration(ps.stop.Load()))
+func (ps *pausingStore) Renew(ctx context.Context, id store.LeaseID) error {
+	time.Sleep(time.Duration(ps.pause.Load()))
 	return ps.Store.Renew(ctx, id)
 }
 
-func holder(t *testing.T, st store.Store, name string) *lease.Holder {
+func startHolder(t *testing.T, st store.Store, name string) *lease.Holder {
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(func() {
 		stop()
@@ -37,14 +37,14 @@
 	return hd
 }
 
-func TestOneHolderWithRisingFence(t *testing.T) {
-	// The holder of a pool is asked to give it back, and later dies. Each time another becomes the holder, with a
-	// higher fencing number, and never two at once.
+func TestSingleHolderWithIncreasingFence(t *testing.T) {
+	// The holder of a pool releases it while another instance waits for it. The other one must become the holder with a
+	// higher fencing number, and the two must not hold the lease at the same time.
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.NewKV(stand.Rates{})
-		one := holder(t, stand.NewMemory(kv), "one")
+		one := startHolder(t, stand.NewMemory(kv), "one")
 		time.Sleep(2 * time.Second)
-		two := holder(t, stand.NewMemory(kv), "two")
+		two := startHolder(t, stand.NewMemory(kv), "two")
 		time.Sleep(10 * time.Second)
 		first, ok := one.Check("pool")
 		assert.Assert(t, ok)
@@ -60,19 +60,19 @@
 	})
 }
 
-func TestPausedHolderActsNoMore(t *testing.T) {
-	// The holder is frozen past the end of its lease while it renews, and another takes the pool. When it goes on it
-	// still believes itself the holder for a moment; asked right before an act, it must say no.
+func TestPausedHolderFailsCheck(t *testing.T) {
+	// The holder's process is frozen during a renewal until after its lease has ended, and another instance acquires the
+	// pool. When the process resumes, its state still lists the lease as held, but Check must report that it is not.
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.NewKV(stand.Rates{})
-		frozen := &paused{Store: stand.NewMemory(kv)}
-		old := holder(t, frozen, "old")
+		frozen := &pausingStore{Store: stand.NewMemory(kv)}
+		old := startHolder(t, frozen, "old")
 		time.Sleep(2 * time.Second)
 		_, ok := old.Check("pool")
 		assert.Assert(t, ok)
-		frozen.stop.Store(int64(60 * time.Second))
+		frozen.pause.Store(int64(60 * time.Second))
 		time.Sleep(3 * time.Second)
-		next := holder(t, stand.NewMemory(kv), "next")
+		next := startHolder(t, stand.NewMemory(kv), "next")
 		for range 58 {
 			_, oldHolds := old.Check("pool")
 			_, nextHolds := next.Check("pool")
@@ -85,10 +85,11 @@
 }
 
 func TestHolderStopsBeforeItsLeaseEnds(t *testing.T) {
-	// The store goes down. The holder cannot renew and must stop while the service still counts the lease as its own.
+	// The store fails and the holder cannot renew. It must stop acting while the service still considers it the holder,
+	// and acquire the lease again after the store has recovered.
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.NewKV(stand.Rates{})
-		hd := holder(t, stand.NewMemory(kv), "one")
+		hd := startHolder(t, stand.NewMemory(kv), "one")
 		time.Sleep(2 * time.Second)
 		kv.SetFaults(stand.Faults{Outage: true})
 		time.Sleep(lease.TTL - lease.Margin)
@@ -101,12 +102,12 @@
 	})
 }
 
-func TestRefusedFenceIsReplaced(t *testing.T) {
-	// An engine says that it has seen a higher fencing number than the holder's. The holder must not go on with it, and
-	// not wait behind its own name either: it takes the name anew, with a higher number.
+func TestDroppedLeaseIsReacquired(t *testing.T) {
+	// An engine reports a higher fencing number than the holder's, so the holder drops its lease. It must stop using the
+	// old number and must not wait for its own key to expire: it acquires the name again with a higher number.
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.NewKV(stand.Rates{})
-		hd := holder(t, stand.NewMemory(kv), "one")
+		hd := startHolder(t, stand.NewMemory(kv), "one")
 		time.Sleep(2 * time.Second)
 		first, ok := hd.Check("pool")
 		assert.Assert(t, ok)
@@ -120,9 +121,10 @@
 	})
 }
 
-func TestLostAnswerToTheTaking(t *testing.T) {
-	// The service takes the name for the holder and the answer is lost. The holder finds out that it is its own, and
-	// does not wait for itself for good; when the pool is not wanted any more, the name is free for others.
+func TestLostResponseToAcquire(t *testing.T) {
+	// The service writes the name for the holder and the response is lost. The holder must detect that it owns the name
+	// instead of waiting for itself forever. When the pool is no longer wanted and the response to its removal is lost as
+	// well, another instance must be able to acquire the name.
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.NewKV(stand.Rates{})
 		hd := lease.New(stand.NewMemory(kv), "one")
@@ -146,7 +148,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		kv.SetFaults(stand.Faults{})
 		time.Sleep(2 * time.Second)
-		next := holder(t, stand.NewMemory(kv), "next")
+		next := startHolder(t, stand.NewMemory(kv), "next")
 		time.Sleep(10 * time.Second)
 		_, ok = next.Check("pool")
 		assert.Assert(t, ok)
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -8,127 +8,134 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// Spreading of news.
+// Parameters of the gossip.
 const (
-	// fanout is how many members are told of urgent news at once. Each of them tells as many again, so that all but a
-	// few in a hundred hear it within as many hops as the fleet's size has digits; the probes bring it to the rest.
+	// fanout is the number of members to which an urgent update is sent at once. Each of them forwards it to as many, so
+	// that all but a few percent of the members receive it within about as many hops as the fleet's size has decimal
+	// digits. Probes carry it to the rest.
 	fanout = 4
-	// repeat is how often a word goes out with probes, times the logarithm of the fleet's size.
-	repeat = 3
-	// maxWords bounds the words in one message.
-	maxWords = 6
+	// retransmitMult limits how often an update is sent with probes and their answers: retransmitMult times the number of
+	// bits of the fleet's size, which is about its binary logarithm.
+	retransmitMult = 3
+	// maxPiggybacked is the maximum number of queued updates in one message.
+	maxPiggybacked = 6
 )
 
-// item is a word on its way with the number of times it was sent.
-type item struct {
-	word event.Word
+// queuedUpdate is an update that still has to be sent with probes.
+type queuedUpdate struct {
+	update event.Word
+	// sent is the number of probes and answers that have carried the update.
 	sent int
 }
 
-func (st *State) hearAll(words []event.Word) {
-	for _, word := range words {
-		st.hear(word)
+func (st *State) applyAll(updates []event.Word) {
+	for _, upd := range updates {
+		st.apply(upd)
 	}
 }
 
-// hear takes a word if it says more than what is known, and passes it on.
-func (st *State) hear(word event.Word) {
+// apply applies an update that supersedes what is known, and forwards it.
+func (st *State) apply(upd event.Word) {
 	switch {
-	case word.State == event.WordUpstreamLeaving:
-		st.hearLeaver(word)
-	case word.Name == st.Self.Name:
-		st.refute(word)
+	case upd.State == event.WordUpstreamLeaving:
+		st.applyUpstreamLeaving(upd)
+	case upd.Name == st.Self.Name:
+		st.refute(upd)
 	default:
-		st.hearMember(word)
+		st.applyMember(upd)
 	}
 }
 
-func (st *State) hearLeaver(word event.Word) {
-	if _, known := st.leavers[word]; known || len(st.leavers) >= maxLeavers {
+func (st *State) applyUpstreamLeaving(upd event.Word) {
+	if _, known := st.leavingUpstreams[upd]; known || len(st.leavingUpstreams) >= maxLeavingUpstreams {
 		return
 	}
-	st.leavers[word] = st.now
-	st.Left = append(st.Left, word)
-	st.spread(word)
+	st.leavingUpstreams[upd] = st.now
+	st.Left = append(st.Left, upd)
+	st.broadcast(upd)
 }
 
-// refute answers a suspicion of this instance with a higher incarnation, which only this instance may do.
-func (st *State) refute(word event.Word) {
-	if word.Incarnation == 0 {
-		word.Incarnation = st.Incarnation
+// refute answers a suspicion of this instance, or a report of its death, with a higher incarnation. No other instance may
+// raise it.
+func (st *State) refute(upd event.Word) {
+	if upd.Incarnation == 0 {
+		upd.Incarnation = st.Incarnation
 	}
-	if word.Incarnation < st.Incarnation || word.State == event.WordAlive || word.State == event.WordLeaving {
+	if upd.Incarnation < st.Incarnation || upd.State == event.WordAlive || upd.State == event.WordLeaving {
 		return
 	}
-	st.Incarnation = word.Incarnation + 1
-	st.spread(st.aboutSelf())
+	st.Incarnation = upd.Incarnation + 1
+	st.broadcast(st.selfUpdate())
 }
 
-func (st *State) hearMember(word event.Word) {
-	mb, ok := st.Members[word.Name]
+func (st *State) applyMember(upd event.Word) {
+	mb, ok := st.Members[upd.Name]
 	if !ok {
 		return
 	}
-	if word.Incarnation == 0 {
-		// Who suspects a member that it never heard itself means the one that is there now.
-		word.Incarnation = mb.Incarnation
+	if upd.Incarnation == 0 {
+		// The sender suspects a member from which it has received nothing, so it means the current run.
+		upd.Incarnation = mb.Incarnation
 	}
-	if !mb.overriddenBy(word) {
+	if !mb.overriddenBy(upd) {
 		return
 	}
-	if mb.State != word.State {
+	if mb.State != upd.State {
 		st.Changed = true
 	}
-	news := mb.State != word.State || word.State == event.WordAlive && mb.Incarnation != 0
-	mb.Incarnation = word.Incarnation
-	mb.State = word.State
+	isNew := mb.State != upd.State || upd.State == event.WordAlive && mb.Incarnation != 0
+	mb.Incarnation = upd.Incarnation
+	mb.State = upd.State
 	switch {
-	case word.State == event.WordSuspect:
+	case upd.State == event.WordSuspect:
 		mb.SuspectedAt = st.now
-		st.suspects[word.Name] = true
-		st.tell(mb.Instance.Peer, st.gossip(word))
-		st.spread(word)
-	case news:
-		st.spread(word)
+		st.suspects[upd.Name] = true
+		st.send(mb.Instance.Peer, st.gossipMessage(upd))
+		st.broadcast(upd)
+	case isNew:
+		st.broadcast(upd)
 	}
 }
 
-// overriddenBy orders the words about one member. Leaving is final for an incarnation, and a suspicion or death that
-// is older than the member's own last word says nothing.
-func (mb *Member) overriddenBy(word event.Word) bool {
-	if word.Incarnation != mb.Incarnation {
-		return word.Incarnation > mb.Incarnation
+// overriddenBy reports whether the update supersedes what is known about the member. The higher incarnation wins, so that
+// a suspicion or death older than the member's own last update is ignored. Within one incarnation the higher state wins,
+// so that a leaving member cannot become alive or suspect again.
+func (mb *Member) overriddenBy(upd event.Word) bool {
+	if upd.Incarnation != mb.Incarnation {
+		return upd.Incarnation > mb.Incarnation
 	}
-	return word.State > mb.State
+	return upd.State > mb.State
 }
 
-// spread tells some members at once and the others with the next probes.
-func (st *State) spread(word event.Word) {
-	st.news = slices.DeleteFunc(st.news, func(it *item) bool {
-		return it.word.Name == word.Name && it.word.State != event.WordUpstreamLeaving
+// broadcast sends the update to fanout random members at once and queues it for the others, who receive it with probes. It
+// replaces queued updates about the same member.
+func (st *State) broadcast(upd event.Word) {
+	st.broadcasts = slices.DeleteFunc(st.broadcasts, func(qu *queuedUpdate) bool {
+		return qu.update.Name == upd.Name && qu.update.State != event.WordUpstreamLeaving
 	})
-	st.news = append(st.news, &item{word: word})
-	for _, mb := range st.draw(fanout, word.Name) {
-		st.tell(mb.Instance.Peer, st.gossip(word))
+	st.broadcasts = append(st.broadcasts, &queuedUpdate{update: upd})
+	for _, mb := range st.pickLive(fanout, upd.Name) {
+		st.send(mb.Instance.Peer, st.gossipMessage(upd))
 	}
 }
 
-// words returns news for one message, those sent least often first, and counts them as sent.
-func (st *State) words(times int) []event.Word {
-	if len(st.news) == 0 {
+// piggyback returns the queued updates to add to one message, those sent least often first. It adds times to their send
+// counts and removes the updates that have reached the limit.
+func (st *State) piggyback(times int) []event.Word {
+	if len(st.broadcasts) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(st.news, func(one, two *item) int { return one.sent - two.sent })
-	words := make([]event.Word, 0, maxWords+1)
-	for _, it := range st.news[:min(len(st.news), maxWords)] {
-		it.sent += times
-		words = append(words, it.word)
+	slices.SortStableFunc(st.broadcasts, func(a, b *queuedUpdate) int { return a.sent - b.sent })
+	updates := make([]event.Word, 0, maxPiggybacked+1)
+	for _, qu := range st.broadcasts[:min(len(st.broadcasts), maxPiggybacked)] {
+		qu.sent += times
+		updates = append(updates, qu.update)
 	}
-	limit := repeat * bits.Len(uint(len(st.Members)+1))
-	st.news = slices.DeleteFunc(st.news, func(it *item) bool { return it.sent >= limit })
-	return words
+	limit := retransmitMult * bits.Len(uint(len(st.Members)+1))
+	st.broadcasts = slices.DeleteFunc(st.broadcasts, func(qu *queuedUpdate) bool { return qu.sent >= limit })
+	return updates
 }
 
-func (st *State) gossip(word event.Word) wire.Gossip {
-	return wire.Gossip{From: st.Self.Name, Words: []event.Word{word}}
+func (st *State) gossipMessage(upd event.Word) wire.Gossip {
+	return wire.Gossip{From: st.Self.Name, Words: []event.Word{upd}}
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,6 +1,8 @@
-// Package member knows which entry instances are live. The platform's list says who exists, late; a few random probes
-// a second say who is alive; news of deaths and leavings spreads with the probes and, as it is urgent, ahead of them.
-// What one instance spends on it does not depend on the size of the fleet.
+// Package member tracks which entry instances are live. It implements a gossip protocol with probes, suspicion and
+// incarnation numbers, in the manner of SWIM. The platform's list names the instances that exist, with a delay. Each
+// instance probes another member every second, in random order, to find out which ones are alive. Updates about dead and
+// leaving members are urgent, so they are sent to a few members at once and spread further with the probes. The cost for
+// one instance does not depend on the size of the fleet.
 package member
 
 import (
@@ -14,121 +16,127 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// Timing of the probes.
+// Parameters of the failure detection.
 const (
 	// ProbePeriod is the time between two probes that one instance starts.
 	ProbePeriod = time.Second
-	// AckTime is how long the answer to a direct probe may take; then others are asked to probe.
-	AckTime = 300 * time.Millisecond
-	// ProbeTime is how long any answer to a probe may take before the member is suspected.
-	ProbeTime = 800 * time.Millisecond
-	// SuspectTime is how long a suspected member has to refute.
-	SuspectTime = 2 * time.Second
-	// leaverMemory is how long a word about an upstream is remembered that no list names any more. It is longer than
-	// words go round; one forgotten before would be taken for news and passed on, from instance to instance without end.
-	leaverMemory = 2 * time.Minute
-	// maxLeavers bounds what is remembered.
-	maxLeavers = 20_000
-	// helpers is how many others are asked to probe a member that does not answer.
-	helpers = 3
+	// AckTimeout is how long the answer to a direct probe may take before other members are asked to probe the target.
+	AckTimeout = 300 * time.Millisecond
+	// ProbeTimeout is how long the answer to a probe, direct or indirect, may take before the member is suspected.
+	ProbeTimeout = 800 * time.Millisecond
+	// SuspectTimeout is how long a suspected member has to refute the suspicion before it is declared dead.
+	SuspectTimeout = 2 * time.Second
+	// leavingRetention is how long an update about a leaving upstream is remembered after the last list that named the
+	// upstream. It is longer than updates circulate. An update forgotten while it still circulates would be taken for a new
+	// one and forwarded from instance to instance without end.
+	leavingRetention = 2 * time.Minute
+	// maxLeavingUpstreams is the maximum number of updates about leaving upstreams that are remembered.
+	maxLeavingUpstreams = 20_000
+	// indirectProbes is the number of other members that are asked to probe a member that does not answer.
+	indirectProbes = 3
 )
 
-// Member is what is known of another instance.
+// Member is what is known about another instance.
 type Member struct {
 	Instance event.Instance
 	// State is WordAlive, WordSuspect, WordDead or WordLeaving.
 	State event.WordState
-	// Incarnation is the highest heard, 0 if nothing was heard yet.
+	// Incarnation is the highest one received, 0 if none was received yet.
 	Incarnation uint64
 	// SuspectedAt is when the suspicion began.
 	SuspectedAt time.Time
 }
 
-// runApart is how far the first incarnations of two runs of one name are apart at least, in microseconds. A run raises
-// its own by one with each refutation, which does not add up to it.
-const runApart = 100_000
+// minRunGap is the minimum distance in microseconds between the first incarnations of two runs of the same name. A run
+// raises its incarnation by one with each refutation, which never adds up to this distance.
+const minRunGap = 100_000
 
-// After tells that the member runs anew since the incarnation of an earlier run.
+// After reports whether the member's current run is a later one than the run that had the given incarnation.
 func (mb *Member) After(incarnation uint64) bool {
-	return mb.Incarnation > incarnation+runApart
+	return mb.Incarnation > incarnation+minRunGap
 }
 
-// Live tells that the member takes part; a suspected one does until it is declared dead.
+// Live reports whether the member takes part in the protocol. A suspected one does until it is declared dead.
 func (mb *Member) Live() bool {
 	return mb.State == event.WordAlive || mb.State == event.WordSuspect
 }
 
 // State is the membership as one instance sees it.
 type State struct {
-	// Self is this instance; its Peer is empty until the platform lists it.
+	// Self is this instance. Its Peer is empty as long as its peer address is unknown.
 	Self event.Instance
-	// Incarnation is this run's; it starts with the time, so that a replacement of the same name goes before.
+	// Incarnation is that of this run. Its first value is the start time, so that a later instance of the same name has a
+	// higher one.
 	Incarnation uint64
-	// Members holds every other listed instance by name.
+	// Members contains every other listed instance by name.
 	Members map[string]*Member
-	// Changed tells that the live instances changed; who has looked resets it.
+	// Changed is set when the members, their states or this instance's own entry change. The caller resets it.
 	Changed bool
-	// Left holds what was told of upstreams that leave, not yet looked at.
+	// Left contains the updates about leaving upstreams that the caller has not processed yet. The caller clears it.
 	Left []event.Word
 
-	// suspects names the suspected members, so that a tick does not look at all members.
-	suspects  map[string]bool
-	leaving   bool
-	random    *rand.Rand
-	now       time.Time
-	effects   []effect.Effect
+	// suspects contains the names of the suspected members, so that a tick does not have to check all members.
+	suspects map[string]bool
+	leaving  bool
+	random   *rand.Rand
+	now      time.Time
+	effects  []effect.Effect
+	// round contains the names of the members still to probe in this round.
 	round     []string
 	nextProbe time.Time
 	seq       uint64
-	probes    map[uint64]*probe
-	news      []*item
-	// leavers holds the words about upstreams that leave, with the time of the last list that named them.
-	leavers map[event.Word]time.Time
+	// probes contains the unanswered probes by sequence number.
+	probes map[uint64]*probe
+	// broadcasts contains the updates still to be sent with probes.
+	broadcasts []*queuedUpdate
+	// leavingUpstreams contains the updates about leaving upstreams with the time of the last list that named the upstream,
+	// or the time of the update itself if no list has named it since.
+	leavingUpstreams map[event.Word]time.Time
 }
 
-// New returns the state of an instance that knows no other.
+// New returns the state of an instance that knows no other members.
 func New(self event.Instance, incarnation, seed uint64) *State {
 	return &State{
-		Self:        self,
-		Incarnation: incarnation,
-		Members:     map[string]*Member{},
-		random:      rand.New(rand.NewPCG(seed, incarnation)),
-		probes:      map[uint64]*probe{},
-		leavers:     map[event.Word]time.Time{},
-		suspects:    map[string]bool{},
+		Self:             self,
+		Incarnation:      incarnation,
+		Members:          map[string]*Member{},
+		random:           rand.New(rand.NewPCG(seed, incarnation)),
+		probes:           map[uint64]*probe{},
+		leavingUpstreams: map[event.Word]time.Time{},
+		suspects:         map[string]bool{},
 	}
 }
 
-// Reduce takes one event and returns what is to be sent. The slice is valid until the next call.
+// Reduce applies one event and returns the messages to send. The slice is valid until the next call.
 func (st *State) Reduce(now time.Time, ev event.Event) []effect.Effect {
 	st.now = now
 	st.effects = st.effects[:0]
 	switch ev := ev.(type) {
 	case event.InstancesListed:
-		st.listed(ev)
+		st.handleInstancesListed(ev)
 	case event.UpstreamsListed:
-		st.upstreamsListed(ev)
+		st.handleUpstreamsListed(ev)
 	case event.Probed:
-		st.probed(ev)
+		st.handleProbed(ev)
 	case event.ProbeAcked:
-		st.acked(ev)
+		st.handleAcked(ev)
 	case event.Gossiped:
-		st.hearAll(ev.Words)
+		st.applyAll(ev.Words)
 	case event.DrainStarted:
-		st.leave()
+		st.startLeaving()
 	case event.Ticked:
 		st.tick()
 	}
 	return st.effects
 }
 
-func (st *State) tell(address string, msg wire.Message) {
+func (st *State) send(address string, msg wire.Message) {
 	if address != "" {
 		st.effects = append(st.effects, effect.Tell{Address: address, Message: msg})
 	}
 }
 
-// Instances returns this instance and every live other, leaving ones marked.
+// Instances returns this instance and all members that are not dead, with Leaving set for those that leave.
 func (st *State) Instances() []event.Instance {
 	self := st.Self
 	self.Leaving = st.leaving
@@ -143,7 +151,7 @@
 	return list
 }
 
-// Trusted tells that the named instance is live and not suspected.
+// Trusted reports whether the named instance is alive and neither suspected nor leaving.
 func (st *State) Trusted(name string) bool {
 	if name == st.Self.Name {
 		return !st.leaving
@@ -152,16 +160,16 @@
 	return ok && mb.State == event.WordAlive
 }
 
-func (st *State) listed(ev event.InstancesListed) {
+func (st *State) handleInstancesListed(ev event.InstancesListed) {
 	named := map[string]bool{}
 	for _, inst := range ev.Instances {
 		named[inst.Name] = true
 		if inst.Name == st.Self.Name {
-			st.selfListed(inst)
+			st.updateSelf(inst)
 			continue
 		}
 		if inst.Peer != "" {
-			st.take(inst)
+			st.addOrUpdate(inst)
 		}
 	}
 	for name := range st.Members {
@@ -172,15 +180,15 @@
 	}
 }
 
-// selfListed takes the address under which the others know this instance.
-func (st *State) selfListed(inst event.Instance) {
+// updateSelf sets the address under which the other instances know this one.
+func (st *State) updateSelf(inst event.Instance) {
 	if inst.Peer != "" && inst.Peer != st.Self.Peer {
 		st.Self.Peer = inst.Peer
 		st.Changed = true
 	}
 }
 
-func (st *State) take(inst event.Instance) {
+func (st *State) addOrUpdate(inst event.Instance) {
 	mb, ok := st.Members[inst.Name]
 	if !ok || mb.Instance.Peer != inst.Peer {
 		mb = &Member{Instance: inst, State: event.WordAlive}
@@ -192,46 +200,46 @@
 		return
 	}
 	if mb.Incarnation == 0 {
-		// Without its incarnation the word could stick to a replacement of the same name, so it stays here.
+		// An update without an incarnation could be applied to a later instance of the same name, so it is not forwarded.
 		mb.State = event.WordLeaving
 		st.Changed = true
 		return
 	}
-	st.hear(event.Word{Name: inst.Name, State: event.WordLeaving, Incarnation: mb.Incarnation})
+	st.apply(event.Word{Name: inst.Name, State: event.WordLeaving, Incarnation: mb.Incarnation})
 }
 
-// AddressHash is the incarnation of a word about an upstream.
+// AddressHash returns the incarnation of an update about an upstream at the address.
 func AddressHash(address string) uint64 {
 	return xxhash.Sum64String(address)
 }
 
-func (st *State) upstreamsListed(ev event.UpstreamsListed) {
+func (st *State) handleUpstreamsListed(ev event.UpstreamsListed) {
 	for _, up := range ev.Upstreams {
-		word := event.Word{Name: up.Name, State: event.WordUpstreamLeaving, Incarnation: AddressHash(up.Address)}
+		upd := event.Word{Name: up.Name, State: event.WordUpstreamLeaving, Incarnation: AddressHash(up.Address)}
 		if up.Leaving {
-			st.hear(word)
+			st.apply(upd)
 		}
-		if _, ok := st.leavers[word]; ok {
-			st.leavers[word] = st.now
+		if _, ok := st.leavingUpstreams[upd]; ok {
+			st.leavingUpstreams[upd] = st.now
 		}
 	}
-	for word, at := range st.leavers {
-		if st.now.Sub(at) > leaverMemory {
-			delete(st.leavers, word)
+	for upd, at := range st.leavingUpstreams {
+		if st.now.Sub(at) > leavingRetention {
+			delete(st.leavingUpstreams, upd)
 		}
 	}
 }
 
-// leave tells the others that this instance takes nothing new.
-func (st *State) leave() {
+// startLeaving announces to the other instances that this one accepts no new work.
+func (st *State) startLeaving() {
 	st.leaving = true
 	st.Changed = true
-	st.spread(event.Word{Name: st.Self.Name, State: event.WordLeaving, Incarnation: st.Incarnation})
+	st.broadcast(event.Word{Name: st.Self.Name, State: event.WordLeaving, Incarnation: st.Incarnation})
 }
 
 func (st *State) tick() {
-	st.followSuspects()
-	st.followProbes()
+	st.expireSuspects()
+	st.checkProbes()
 	if st.Self.Peer == "" || len(st.Members) == 0 || st.now.Before(st.nextProbe) {
 		return
 	}
@@ -239,15 +247,15 @@
 	st.startProbe()
 }
 
-func (st *State) followSuspects() {
+func (st *State) expireSuspects() {
 	for name := range st.suspects {
 		mb, ok := st.Members[name]
 		if !ok || mb.State != event.WordSuspect {
 			delete(st.suspects, name)
 			continue
 		}
-		if st.now.Sub(mb.SuspectedAt) >= SuspectTime {
-			st.hear(event.Word{Name: name, State: event.WordDead, Incarnation: mb.Incarnation})
+		if st.now.Sub(mb.SuspectedAt) >= SuspectTimeout {
+			st.apply(event.Word{Name: name, State: event.WordDead, Incarnation: mb.Incarnation})
 		}
 	}
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -17,15 +17,15 @@
 
 const tick = 50 * time.Millisecond
 
-// fleet is a number of members whose messages arrive one tick later, unless they are lost.
+// fleet simulates members whose messages arrive one tick later, unless they are lost.
 type fleet struct {
 	now    time.Time
 	states []*member.State
-	// down members neither hear nor act.
+	// down contains the members that process no events.
 	down   map[int]bool
 	queue  []effect.Tell
 	random *rand.Rand
-	// loss is the part of the messages that get lost.
+	// loss is the fraction of messages that are lost.
 	loss  float64
 	bytes int
 	count int
@@ -70,7 +70,7 @@
 	}
 }
 
-// run lets the time pass.
+// run advances the simulated time by period.
 func (fl *fleet) run(period time.Duration) {
 	for end := fl.now.Add(period); fl.now.Before(end); {
 		fl.now = fl.now.Add(tick)
@@ -104,8 +104,8 @@
 	}
 }
 
-// views counts how many of the members that are up say that the numbered one is in the state.
-func (fl *fleet) views(number int, state event.WordState) int {
+// countInState returns the number of running members that consider the numbered one to be in the state.
+func (fl *fleet) countInState(number int, state event.WordState) int {
 	count := 0
 	for i, st := range fl.states {
 		if i == number || fl.down[i] {
@@ -118,40 +118,41 @@
 	return count
 }
 
-func TestDeathIsSuspectedThenDeclared(t *testing.T) {
-	// One instance of thirty is killed without a word. Its next probes go unanswered, first the direct ones, then those
-	// by others; all suspect it within a few seconds and, as it refutes nothing, declare it dead.
+func TestUnresponsiveMemberIsSuspectedThenDeclaredDead(t *testing.T) {
+	// One instance of thirty is killed without an announcement and answers neither direct nor indirect probes. All others
+	// must suspect it and, since it does not refute that, declare it dead within ten seconds. If it was only unreachable
+	// and receives messages again, it must refute its death and be alive for all others.
 	fl := newFleet(30, 1)
 	fl.run(5 * time.Second)
 	fl.down[7] = true
 	fl.run(10 * time.Second)
-	assert.Equal(t, fl.views(7, event.WordDead), 29)
+	assert.Equal(t, fl.countInState(7, event.WordDead), 29)
 	fl.down[7] = false
 	fl.run(40 * time.Second)
-	assert.Equal(t, fl.views(7, event.WordAlive), 29, "a member that was only away comes back by refuting")
+	assert.Equal(t, fl.countInState(7, event.WordAlive), 29, "a member that was only unreachable must refute its death and be alive again")
 }
 
-func TestLeavingIsHeardWithinTwoSeconds(t *testing.T) {
-	// An instance drains, and an upstream leaves that only one instance has read of yet.
-	// All instances know of both within two seconds, so that neither gets new work. When the instance has ended, or was
-	// killed while it drained, it is declared dead, and what it left can be swept.
+func TestLeavingSpreadsWithinTwoSeconds(t *testing.T) {
+	// An instance drains, and an upstream leaves of which only one instance has read. All instances must know of both
+	// within two seconds, since otherwise they would send new work there. A draining instance that has ended or was killed
+	// must be declared dead, so that what it left behind can be swept.
 	fl := newFleet(60, 2)
 	fl.run(3 * time.Second)
 	fl.reduce(3, event.DrainStarted{})
 	fl.reduce(5, event.UpstreamsListed{Upstreams: []event.Upstream{{Name: "lyric-0", Address: "x", Leaving: true}}})
 	fl.run(2 * time.Second)
-	assert.Equal(t, fl.views(3, event.WordLeaving), 59)
+	assert.Equal(t, fl.countInState(3, event.WordLeaving), 59)
 	for i, st := range fl.states {
 		assert.Equal(t, len(st.Left), 1, "%d", i)
 	}
 	fl.down[3] = true
 	fl.run(10 * time.Second)
-	assert.Equal(t, fl.views(3, event.WordDead), 59)
+	assert.Equal(t, fl.countInState(3, event.WordDead), 59)
 }
 
-func TestNewsComesToAnEnd(t *testing.T) {
-	// An upstream leaves and is soon off the list, and words about it still go round.
-	// They stop after some time: no instance takes a late one for news and passes it on anew.
+func TestGossipAboutDelistedUpstreamStops(t *testing.T) {
+	// An upstream leaves and disappears from the list while updates about it still circulate. They must stop: an instance
+	// that has forgotten the upstream too early would take a late update for a new one and forward it again.
 	fl := newFleet(20, 4)
 	fl.run(3 * time.Second)
 	up := event.Upstream{Name: "lyric-0", Address: "x", Leaving: true}
@@ -167,9 +168,9 @@
 	assert.Assert(t, fl.count <= 2*10*20+2*20, "%d messages of 20 members in 10 s", fl.count)
 }
 
-func TestMembersConvergeAndNoRefuterIsDead(t *testing.T) {
-	// A part of all messages gets lost, so that members that are well are suspected again and again. Each hears of it
-	// and refutes it in time, and in the end all agree that all are alive.
+func TestMembersConvergeAfterMessageLoss(t *testing.T) {
+	// With up to 15% of all messages lost, healthy members are suspected again and again and have to refute that. Once
+	// messages are no longer lost, all members must agree that all are alive.
 	rapid.Check(t, func(t *rapid.T) {
 		fl := newFleet(rapid.IntRange(2, 12).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"))
 		fl.loss = rapid.Float64Range(0, 0.15).Draw(t, "loss")
@@ -177,14 +178,14 @@
 		fl.loss = 0
 		fl.run(30 * time.Second)
 		for i := range fl.states {
-			assert.Equal(t, fl.views(i, event.WordAlive), len(fl.states)-1)
+			assert.Equal(t, fl.countInState(i, event.WordAlive), len(fl.states)-1)
 		}
 	})
 }
 
-func TestRestartOfTheSameNameGoesBefore(t *testing.T) {
-	// An instance that left is replaced by one of its name at another address.
-	// Words about the one before, which still go round, say nothing about the new one.
+func TestUpdateOfEarlierRunIsIgnored(t *testing.T) {
+	// An instance that left is replaced by one of the same name at another address. Updates about the earlier run still
+	// circulate and must not be applied to the new one.
 	fl := newFleet(2, 3)
 	st := fl.states[0]
 	st.Reduce(fl.now, event.Gossiped{Words: []event.Word{{Name: "entry-1", State: event.WordLeaving, Incarnation: 1}}})
@@ -197,7 +198,7 @@
 	assert.Assert(t, st.Trusted("entry-1"))
 }
 
-// BenchmarkFleet gives what one member spends a second, as a function of the fleet's size.
+// BenchmarkFleet measures the cost of one member per second by fleet size.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []int{3, 10, 30, 60, 430} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -9,25 +9,28 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// probe is one under way.
+// probe is a probe that has not been answered yet.
 type probe struct {
 	target string
 	at     time.Time
-	// helped tells that others were asked to probe the target too.
-	helped bool
-	// relay is who asked for the probe, with its number; empty for an own probe.
-	relay    string
+	// indirect reports whether other members were asked to probe the target too.
+	indirect bool
+	// relayTo is the peer address of the member that asked for this probe and to which the answer is forwarded. It is empty
+	// for this instance's own probes.
+	relayTo string
+	// relaySeq is the sequence number that the asking member gave the probe.
 	relaySeq uint64
 }
 
-// startProbe probes the members in turn, each round in a new random order, so that none waits longer than two rounds.
+// startProbe probes the next member. Each round probes every member once, in a new random order, so that no member waits
+// longer than two rounds.
 func (st *State) startProbe() {
 	for range 2 {
 		for len(st.round) > 0 {
 			name := st.round[len(st.round)-1]
 			st.round = st.round[:len(st.round)-1]
 			if mb, ok := st.Members[name]; ok {
-				st.send(mb, &probe{target: name, at: st.now})
+				st.sendProbe(mb, &probe{target: name, at: st.now})
 				return
 			}
 		}
@@ -36,7 +39,7 @@
 	}
 }
 
-// names returns the members in a fixed order, so that the seed alone decides what is drawn.
+// names returns the names of the members, sorted, so that random choices depend on the seed alone.
 func (st *State) names() []string {
 	names := make([]string, 0, len(st.Members))
 	for name := range st.Members {
@@ -46,29 +49,29 @@
 	return names
 }
 
-func (st *State) send(mb *Member, pr *probe) {
+func (st *State) sendProbe(mb *Member, pr *probe) {
 	st.seq++
 	st.probes[st.seq] = pr
-	words := st.words(1)
+	updates := st.piggyback(1)
 	if mb.State != event.WordAlive {
-		// The member learns what is said of it and can refute it.
-		words = append(words, event.Word{Name: pr.target, State: mb.State, Incarnation: mb.Incarnation})
+		// Tells the member its state as known here, so that it can refute it.
+		updates = append(updates, event.Word{Name: pr.target, State: mb.State, Incarnation: mb.Incarnation})
 	}
-	st.tell(mb.Instance.Peer, wire.Probe{From: st.Self.Name, Peer: st.Self.Peer, Seq: st.seq, Words: words})
+	st.send(mb.Instance.Peer, wire.Probe{From: st.Self.Name, Peer: st.Self.Peer, Seq: st.seq, Words: updates})
 }
 
-func (st *State) probed(ev event.Probed) {
-	st.hearAll(ev.Words)
+func (st *State) handleProbed(ev event.Probed) {
+	st.applyAll(ev.Words)
 	if ev.For != "" {
 		if mb, ok := st.Members[ev.For]; ok {
-			st.send(mb, &probe{target: ev.For, at: st.now, relay: ev.Peer, relaySeq: ev.Seq})
+			st.sendProbe(mb, &probe{target: ev.For, at: st.now, relayTo: ev.Peer, relaySeq: ev.Seq})
 		}
 		return
 	}
-	st.tell(ev.Peer, wire.ProbeAck{From: st.Self.Name, Seq: ev.Seq, Words: append(st.words(1), st.aboutSelf())})
+	st.send(ev.Peer, wire.ProbeAck{From: st.Self.Name, Seq: ev.Seq, Words: append(st.piggyback(1), st.selfUpdate())})
 }
 
-func (st *State) aboutSelf() event.Word {
+func (st *State) selfUpdate() event.Word {
 	state := event.WordAlive
 	if st.leaving {
 		state = event.WordLeaving
@@ -76,71 +79,71 @@
 	return event.Word{Name: st.Self.Name, State: state, Incarnation: st.Incarnation}
 }
 
-func (st *State) acked(ev event.ProbeAcked) {
-	st.hearAll(ev.Words)
+func (st *State) handleAcked(ev event.ProbeAcked) {
+	st.applyAll(ev.Words)
 	pr, ok := st.probes[ev.Seq]
 	if !ok || pr.target != ev.From {
 		return
 	}
 	delete(st.probes, ev.Seq)
-	if pr.relay != "" {
-		st.tell(pr.relay, wire.ProbeAck{From: ev.From, Seq: pr.relaySeq, Words: ev.Words})
+	if pr.relayTo != "" {
+		st.send(pr.relayTo, wire.ProbeAck{From: ev.From, Seq: pr.relaySeq, Words: ev.Words})
 	}
 }
 
-// followProbes asks for help with late answers, and suspects members from whom none came.
-func (st *State) followProbes() {
+// checkProbes probes members indirectly whose answer is late, and handles the probes that have timed out.
+func (st *State) checkProbes() {
 	late := make([]uint64, 0, len(st.probes))
 	for seq, pr := range st.probes {
-		if st.now.Sub(pr.at) >= AckTime {
+		if st.now.Sub(pr.at) >= AckTimeout {
 			late = append(late, seq)
 		}
 	}
 	slices.SortFunc(late, cmp.Compare)
 	for _, seq := range late {
 		pr := st.probes[seq]
-		if st.now.Sub(pr.at) >= ProbeTime {
+		if st.now.Sub(pr.at) >= ProbeTimeout {
 			delete(st.probes, seq)
-			st.unanswered(pr)
+			st.handleTimeout(pr)
 			continue
 		}
-		if !pr.helped && pr.relay == "" {
-			pr.helped = true
-			st.askHelp(seq, pr.target)
+		if !pr.indirect && pr.relayTo == "" {
+			pr.indirect = true
+			st.probeIndirectly(seq, pr.target)
 		}
 	}
 }
 
-func (st *State) unanswered(pr *probe) {
+func (st *State) handleTimeout(pr *probe) {
 	mb, ok := st.Members[pr.target]
-	if !ok || pr.relay != "" {
+	if !ok || pr.relayTo != "" {
 		return
 	}
 	switch mb.State {
 	case event.WordAlive:
-		st.hear(event.Word{Name: pr.target, State: event.WordSuspect, Incarnation: mb.Incarnation})
+		st.apply(event.Word{Name: pr.target, State: event.WordSuspect, Incarnation: mb.Incarnation})
 	case event.WordLeaving:
-		// It takes nothing new in any case; what it left behind can be swept.
-		st.hear(event.Word{Name: pr.target, State: event.WordDead, Incarnation: mb.Incarnation})
+		// A leaving member gets no new work in any case. Declaring it dead lets what it left behind be swept.
+		st.apply(event.Word{Name: pr.target, State: event.WordDead, Incarnation: mb.Incarnation})
 	}
 }
 
-func (st *State) askHelp(seq uint64, target string) {
-	for _, mb := range st.draw(helpers, target) {
-		st.tell(mb.Instance.Peer, wire.Probe{From: st.Self.Name, Peer: st.Self.Peer, Seq: seq, For: target})
+func (st *State) probeIndirectly(seq uint64, target string) {
+	for _, mb := range st.pickLive(indirectProbes, target) {
+		st.send(mb.Instance.Peer, wire.Probe{From: st.Self.Name, Peer: st.Self.Peer, Seq: seq, For: target})
 	}
 }
 
-// draw returns up to count random live members other than the one named.
-func (st *State) draw(count int, except string) []*Member {
+// pickLive returns up to count random live members other than except.
+func (st *State) pickLive(count int, except string) []*Member {
 	names := st.names()
 	st.random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-	drawn := make([]*Member, 0, count)
+	picked := make([]*Member, 0, count)
 	for _, name := range names {
 		mb := st.Members[name]
-		if name != except && mb.Live() && len(drawn) < count {
-			drawn = append(drawn, mb)
+		if name != except && mb.Live() && len(picked) < count {
+			picked = append(picked, mb)
 		}
 	}
-	return drawn
+	return picked
 }
--- a/internal/permit/holder.go
+++ b/internal/permit/holder.go
@@ -12,50 +12,54 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// Timing of an instance that asks.
+// Timing of the holder.
 const (
-	// RenewPeriod is the time between two words on what this instance holds and waits for.
+	// RenewPeriod is the time between two renewals of the permits that this instance holds or waits for.
 	RenewPeriod = time.Second
-	// answerTime is how long a coordinator may take to answer; then it is told once more.
-	answerTime = 300 * time.Millisecond
-	// tries is how often a coordinator is told before another one is taken.
-	tries = 2
-	// spillTime is how long a request waits in the queue of one pool before it goes to another failure domain's.
-	spillTime = 3 * time.Second
-	// distrust is how long a coordinator that did not answer is passed over.
-	distrust = 5 * time.Second
+	// answerTimeout is how long a coordinator may take to answer before the request is sent again.
+	answerTimeout = 300 * time.Millisecond
+	// maxAttempts is how often a request is sent to a coordinator that does not answer before another one is used.
+	maxAttempts = 2
+	// spillDelay is how long a request waits in the queue of one pool before it moves to the pool of another failure domain.
+	spillDelay = 3 * time.Second
+	// skipTime is how long a coordinator that did not answer is not used.
+	skipTime = 5 * time.Second
 )
 
-// hold is one request that waits for a permit or has one.
+// hold is a request that has a permit or waits for one.
 type hold struct {
 	event.PermitAsked
-	id      event.RequestID
-	since   time.Time
+	id event.RequestID
+	// since is when the request began to wait.
+	since time.Time
+	// until is when the request stops waiting.
 	until   time.Time
 	granted bool
-	// to is the coordinator told last, sentAt when, and sent how often without an answer.
-	to     string
+	// sentTo is the coordinator to which the request was sent last.
+	sentTo string
+	// sentAt is when the request was sent last.
 	sentAt time.Time
-	sent   int
-	// movedAt is when it went to the present pool.
+	// attempts is how often the request was sent to sentTo since its last answer.
+	attempts int
+	// movedAt is when the request was assigned to the present pool.
 	movedAt time.Time
-	// domains are the failure domains whose pools are still to be asked.
-	domains []string
+	// nextDomains contains the failure domains whose pools can be tried next, in this order.
+	nextDomains []string
 }
 
-// Holder asks for permits, keeps them and gives them back.
+// Holder requests permits from the coordinators, renews them and returns them.
 type Holder struct {
 	Self        event.Instance
 	Incarnation uint64
-	// Instances are the live ones that may coordinate, this one included.
+	// Instances contains the live instances that may coordinate, including this one.
 	Instances []event.Instance
 
 	now     time.Time
 	effects []effect.Effect
 	holds   map[string]*hold
-	// silent holds until when a coordinator that did not answer is passed over.
-	silent map[string]time.Time
-	// renewals holds what was told to which coordinator and not yet answered, with the time of the first.
+	// skipUntil is, by instance, the end of the time for which a coordinator that did not answer is not used.
+	skipUntil map[string]time.Time
+	// unanswered is, by instance, the time of the first renewal that it has not answered.
 	unanswered map[string]time.Time
 	renewAt    time.Time
 }
@@ -64,33 +68,33 @@
 func NewHolder(self event.Instance, incarnation uint64) *Holder {
 	return &Holder{
 		Self: self, Incarnation: incarnation,
-		holds: map[string]*hold{}, silent: map[string]time.Time{}, unanswered: map[string]time.Time{},
+		holds: map[string]*hold{}, skipUntil: map[string]time.Time{}, unanswered: map[string]time.Time{},
 	}
 }
 
-// Ask starts to ask the pools of the failure domains, the first one first, and returns what is to be done. An
-// event.PermitAnswered follows from Reduce unless the request is released before.
+// Ask requests a permit from the pools of the failure domains, in their order, and returns the messages to send. Reduce
+// returns an event.PermitAnswered later, unless the request is released before.
 func (ho *Holder) Ask(now time.Time, id event.RequestID, ask event.PermitAsked, domains []string) []effect.Effect {
 	ho.now = now
 	ho.effects = ho.effects[:0]
 	ask.Holder = ho.Self.Name
 	ask.Incarnation = ho.Incarnation
 	ask.Peer = ho.Self.Peer
-	hd := &hold{PermitAsked: ask, id: id, since: now.Add(-ask.Waited), until: now.Add(ask.Wait), movedAt: now, domains: domains}
+	hd := &hold{PermitAsked: ask, id: id, since: now.Add(-ask.Waited), until: now.Add(ask.Wait), movedAt: now, nextDomains: domains}
 	ho.holds[ask.Request] = hd
-	hd.nextDomain()
-	ho.tellHold(hd)
+	hd.moveToNextDomain()
+	ho.sendHold(hd)
 	return ho.effects
 }
 
-func (hd *hold) nextDomain() {
-	hd.FailureDomain = hd.domains[0]
-	hd.domains = hd.domains[1:]
-	hd.sent = 0
-	hd.to = ""
+func (hd *hold) moveToNextDomain() {
+	hd.FailureDomain = hd.nextDomains[0]
+	hd.nextDomains = hd.nextDomains[1:]
+	hd.attempts = 0
+	hd.sentTo = ""
 }
 
-// Release gives back the permit or the place in the queue.
+// Release returns the permit of the request or removes it from the queue.
 func (ho *Holder) Release(now time.Time, request string) []effect.Effect {
 	ho.now = now
 	ho.effects = ho.effects[:0]
@@ -99,18 +103,19 @@
 		return nil
 	}
 	delete(ho.holds, request)
-	ho.giveBack(hd)
+	ho.sendReturn(hd)
 	return ho.effects
 }
 
-// giveBack tells that a hold is over. A word that gets lost costs no memory for long: what is not renewed ends.
-func (ho *Holder) giveBack(hd *hold) {
-	for _, to := range ho.witnesses(hd) {
-		ho.tell(to, wire.PermitReturn{Request: hd.Request, Service: hd.Service, FailureDomain: hd.FailureDomain})
+// sendReturn announces the end of a hold. If the message is lost, the reservation blocks memory only until it expires,
+// since it is no longer renewed.
+func (ho *Holder) sendReturn(hd *hold) {
+	for _, to := range ho.recipients(hd) {
+		ho.send(to, wire.PermitReturn{Request: hd.Request, Service: hd.Service, FailureDomain: hd.FailureDomain})
 	}
 }
 
-// Holding returns the upstreams that the request holds, nil if none.
+// Holding returns the upstreams granted to the request, or nil if it has no permit.
 func (ho *Holder) Holding(request string) []string {
 	if hd, ok := ho.holds[request]; ok && hd.granted {
 		return hd.Upstreams
@@ -118,29 +123,29 @@
 	return nil
 }
 
-// Reduce takes one event and returns what is to be told and the answers to what was asked.
+// Reduce applies one event and returns the messages to send and the answers to earlier calls of Ask.
 func (ho *Holder) Reduce(now time.Time, ev event.Event) ([]effect.Effect, []event.PermitAnswered) {
 	ho.now = now
 	ho.effects = ho.effects[:0]
 	var answers []event.PermitAnswered
 	switch ev := ev.(type) {
 	case event.PermitGranted:
-		answers = ho.answered(ev)
+		answers = ho.handleGranted(ev)
 	case event.PermitsKnown:
-		ho.known(ev)
+		ho.handleKnown(ev)
 	case event.Ticked:
 		answers = ho.tick()
 	}
 	return ho.effects, answers
 }
 
-func (ho *Holder) tell(to event.Instance, msg wire.Message) {
+func (ho *Holder) send(to event.Instance, msg wire.Message) {
 	ho.effects = append(ho.effects, effect.Tell{Address: to.Peer, Message: msg})
 }
 
-// Coordinators returns who coordinates a pool, and who would next: the instances of the highest hashes, those of the
-// pool's own failure domain before others. All instances name the same ones as long as they know the same instances,
-// and the loss of one moves only its own pools.
+// Coordinators returns the coordinator of a pool and the instance that would replace it. They are chosen by rendezvous
+// hashing: the instances with the highest hashes, those in the pool's own failure domain before others. All instances
+// choose the same ones as long as they know the same instances, and the loss of one moves only its own pools.
 func Coordinators(instances []event.Instance, key Pool) []event.Instance {
 	type candidate struct {
 		inst event.Instance
@@ -153,16 +158,16 @@
 			continue
 		}
 		cd := candidate{inst, inst.FailureDomain == key.FailureDomain, hashOf(inst.Name, key)}
-		place, _ := slices.BinarySearchFunc(best, cd, func(one, two candidate) int {
+		index, _ := slices.BinarySearchFunc(best, cd, func(a, b candidate) int {
 			switch {
-			case one.near && !two.near:
+			case a.near && !b.near:
 				return -1
-			case two.near && !one.near:
+			case b.near && !a.near:
 				return 1
 			}
-			return cmp.Compare(two.hash, one.hash)
+			return cmp.Compare(b.hash, a.hash)
 		})
-		best = slices.Insert(best, place, cd)
+		best = slices.Insert(best, index, cd)
 		best = best[:min(len(best), 2)]
 	}
 	list := make([]event.Instance, 0, len(best))
@@ -176,13 +181,13 @@
 	return xxhash.Sum64String(instance + "/" + key.Service + "/" + key.FailureDomain)
 }
 
-// coordinators leaves out those that did not answer.
+// coordinators is like Coordinators without the instances that recently did not answer.
 func (ho *Holder) coordinators(key Pool) []event.Instance {
-	heard := ho.Instances
-	if len(ho.silent) > 0 {
-		heard = slices.DeleteFunc(slices.Clone(heard), func(inst event.Instance) bool { return ho.now.Before(ho.silent[inst.Name]) })
+	reachable := ho.Instances
+	if len(ho.skipUntil) > 0 {
+		reachable = slices.DeleteFunc(slices.Clone(reachable), func(inst event.Instance) bool { return ho.now.Before(ho.skipUntil[inst.Name]) })
 	}
-	return Coordinators(heard, key)
+	return Coordinators(reachable, key)
 }
 
 func (ho *Holder) coordinator(key Pool) (event.Instance, bool) {
@@ -193,9 +198,10 @@
 	return list[0], true
 }
 
-// witnesses returns who is told of a hold: its coordinator, and for a grant of several engines also the next one. If the
-// holder and the coordinator die together, nobody else knows of the segments that the engines hold.
-func (ho *Holder) witnesses(hd *hold) []event.Instance {
+// recipients returns the instances that receive the messages about a hold: the coordinator and, for a grant of several
+// engines, also the instance that would replace it. Otherwise, if the holder and the coordinator die together, no instance
+// knows of the segments that the engines hold.
+func (ho *Holder) recipients(hd *hold) []event.Instance {
 	list := ho.coordinators(hd.pool())
 	if !hd.granted || len(hd.Upstreams) < 2 {
 		list = list[:min(len(list), 1)]
@@ -207,31 +213,31 @@
 	return Pool{hd.Service, hd.FailureDomain}
 }
 
-// tellHold tells the coordinator of one request, and reports false if there is none.
-func (ho *Holder) tellHold(hd *hold) bool {
+// sendHold sends the request to the coordinator of its pool. It reports whether there is one.
+func (ho *Holder) sendHold(hd *hold) bool {
 	to, ok := ho.coordinator(hd.pool())
 	if !ok {
 		return false
 	}
-	if to.Name != hd.to {
-		hd.to = to.Name
-		hd.sent = 0
+	if to.Name != hd.sentTo {
+		hd.sentTo = to.Name
+		hd.attempts = 0
 	}
-	hd.sent++
+	hd.attempts++
 	hd.sentAt = ho.now
-	ho.ask(to, hd)
+	ho.sendAsk(to, hd)
 	return true
 }
 
-func (ho *Holder) ask(to event.Instance, hd *hold) {
+func (ho *Holder) sendAsk(to event.Instance, hd *hold) {
 	ask := hd.PermitAsked
 	ask.Peer = ho.Self.Peer
 	ask.Waited = ho.now.Sub(hd.since)
 	ask.Wait = hd.until.Sub(ho.now)
-	ho.tell(to, wire.PermitAsk(ask))
+	ho.send(to, wire.PermitAsk(ask))
 }
 
-func (ho *Holder) answered(ev event.PermitGranted) []event.PermitAnswered {
+func (ho *Holder) handleGranted(ev event.PermitGranted) []event.PermitAnswered {
 	hd, ok := ho.holds[ev.Request]
 	if !ok {
 		if ev.Granted {
@@ -239,8 +245,8 @@
 		}
 		return nil
 	}
-	if hd.to == ev.From {
-		hd.sent = 0
+	if hd.sentTo == ev.From {
+		hd.attempts = 0
 	}
 	switch {
 	case hd.granted || ev.Queued:
@@ -251,34 +257,34 @@
 		return []event.PermitAnswered{{
 			ID: hd.id, Granted: true, Permit: hd.Request, Upstreams: ev.Upstreams, Until: ho.now.Add(ev.Lasts),
 		}}
-	case len(hd.domains) > 0:
-		hd.nextDomain()
-		ho.tellHold(hd)
+	case len(hd.nextDomains) > 0:
+		hd.moveToNextDomain()
+		ho.sendHold(hd)
 		return nil
 	}
 	delete(ho.holds, ev.Request)
 	return []event.PermitAnswered{{ID: hd.id, RetryAfter: ev.RetryAfter}}
 }
 
-// returnUnwanted gives back a grant that crossed the request's release.
+// returnUnwanted returns a grant that arrived after the request was released.
 func (ho *Holder) returnUnwanted(ev event.PermitGranted) {
 	for _, inst := range ho.Instances {
 		if inst.Name == ev.From {
-			ho.tell(inst, wire.PermitReturn{Request: ev.Request, Service: ev.Service, FailureDomain: ev.FailureDomain})
+			ho.send(inst, wire.PermitReturn{Request: ev.Request, Service: ev.Service, FailureDomain: ev.FailureDomain})
 		}
 	}
 }
 
-func (ho *Holder) known(ev event.PermitsKnown) {
+func (ho *Holder) handleKnown(ev event.PermitsKnown) {
 	delete(ho.unanswered, ev.From)
 	for _, request := range ev.Unknown {
 		hd, ok := ho.holds[request]
 		if !ok {
 			continue
 		}
-		for _, to := range ho.witnesses(hd) {
+		for _, to := range ho.recipients(hd) {
 			if to.Name == ev.From {
-				ho.ask(to, hd)
+				ho.sendAsk(to, hd)
 			}
 		}
 	}
@@ -288,21 +294,21 @@
 	if len(ho.holds) == 0 {
 		return nil
 	}
-	ho.passOverSilent()
+	ho.skipUnresponsive()
 	var lost []event.PermitAnswered
-	for _, hd := range ho.sorted() {
+	for _, hd := range ho.sortedHolds() {
 		if ho.spill(hd) {
 			continue
 		}
 		to, ok := ho.coordinator(hd.pool())
-		moved := ok && to.Name != hd.to
-		late := hd.sent > 0 && ho.now.Sub(hd.sentAt) >= answerTime
+		moved := ok && to.Name != hd.sentTo
+		late := hd.attempts > 0 && ho.now.Sub(hd.sentAt) >= answerTimeout
 		if ok && !moved && !late {
 			continue
 		}
 		if ok {
-			// A new coordinator learns from its holders what is reserved and who waits.
-			ho.tellHold(hd)
+			// A new coordinator learns from the holders which memory is reserved and which requests wait.
+			ho.sendHold(hd)
 			continue
 		}
 		if !hd.granted {
@@ -317,80 +323,80 @@
 	return lost
 }
 
-// passOverSilent stops asking coordinators that do not answer, for some time.
-func (ho *Holder) passOverSilent() {
+// skipUnresponsive excludes coordinators that do not answer for the duration of skipTime.
+func (ho *Holder) skipUnresponsive() {
 	for _, hd := range ho.holds {
-		// This instance itself answers always, if late when the machine is busy.
-		if hd.to != ho.Self.Name && hd.sent >= tries && ho.now.Sub(hd.sentAt) >= answerTime {
-			ho.silent[hd.to] = ho.now.Add(distrust)
+		// This instance always answers itself, though late when the machine is busy, so it is never excluded.
+		if hd.sentTo != ho.Self.Name && hd.attempts >= maxAttempts && ho.now.Sub(hd.sentAt) >= answerTimeout {
+			ho.skipUntil[hd.sentTo] = ho.now.Add(skipTime)
 		}
 	}
 	for name, since := range ho.unanswered {
-		if name != ho.Self.Name && ho.now.Sub(since) >= RenewPeriod+answerTime {
-			ho.silent[name] = ho.now.Add(distrust)
+		if name != ho.Self.Name && ho.now.Sub(since) >= RenewPeriod+answerTimeout {
+			ho.skipUntil[name] = ho.now.Add(skipTime)
 			delete(ho.unanswered, name)
 		}
 	}
 }
 
-func (ho *Holder) sorted() []*hold {
+func (ho *Holder) sortedHolds() []*hold {
 	list := make([]*hold, 0, len(ho.holds))
 	for _, hd := range ho.holds {
 		list = append(list, hd)
 	}
-	slices.SortFunc(list, func(one, two *hold) int { return cmp.Compare(one.Request, two.Request) })
+	slices.SortFunc(list, func(a, b *hold) int { return cmp.Compare(a.Request, b.Request) })
 	return list
 }
 
-// maxRenewed keeps a message under a kilobyte.
-const maxRenewed = 24
+// maxPerRenewal is the maximum number of requests in one renewal. It keeps the message below a kilobyte.
+const maxPerRenewal = 24
 
-// spill takes a request that has waited long enough for one pool to that of the next failure domain, where it keeps its
-// age and so its place. It reports whether it did.
+// spill moves a request that has waited in one pool for spillDelay to the pool of the next failure domain. The request
+// keeps its age there, and so its position in the queue. It reports whether the request was sent to that pool.
 func (ho *Holder) spill(hd *hold) bool {
-	if hd.granted || len(hd.domains) == 0 || ho.now.Sub(hd.movedAt) < spillTime {
+	if hd.granted || len(hd.nextDomains) == 0 || ho.now.Sub(hd.movedAt) < spillDelay {
 		return false
 	}
-	ho.giveBack(hd)
-	hd.domains = append(hd.domains, hd.FailureDomain)
-	hd.nextDomain()
+	ho.sendReturn(hd)
+	hd.nextDomains = append(hd.nextDomains, hd.FailureDomain)
+	hd.moveToNextDomain()
 	hd.movedAt = ho.now
-	return ho.tellHold(hd)
+	return ho.sendHold(hd)
 }
 
-// group is what one witness is told of one pool.
-type group struct {
+// renewalKey identifies the holds that are renewed together: those of one pool at one recipient.
+type renewalKey struct {
 	to  event.Instance
 	key Pool
 }
 
-// renew tells the witnesses of each hold that it goes on.
+// renew renews all holds at their recipients.
 func (ho *Holder) renew() {
-	holds := map[group][]*hold{}
-	var groups []group
-	for _, hd := range ho.sorted() {
-		for _, to := range ho.witnesses(hd) {
-			gr := group{to, hd.pool()}
-			if holds[gr] == nil {
-				groups = append(groups, gr)
+	holds := map[renewalKey][]*hold{}
+	var keys []renewalKey
+	for _, hd := range ho.sortedHolds() {
+		for _, to := range ho.recipients(hd) {
+			rk := renewalKey{to, hd.pool()}
+			if holds[rk] == nil {
+				keys = append(keys, rk)
 			}
-			holds[gr] = append(holds[gr], hd)
+			holds[rk] = append(holds[rk], hd)
 		}
 	}
-	for _, gr := range groups {
-		if _, waits := ho.unanswered[gr.to.Name]; !waits {
-			ho.unanswered[gr.to.Name] = ho.now
+	for _, rk := range keys {
+		if _, pending := ho.unanswered[rk.to.Name]; !pending {
+			ho.unanswered[rk.to.Name] = ho.now
 		}
-		for part := range slices.Chunk(holds[gr], maxRenewed) {
-			ho.renewSome(gr, part)
+		for part := range slices.Chunk(holds[rk], maxPerRenewal) {
+			ho.sendRenewal(rk, part)
 		}
 	}
 }
 
-func (ho *Holder) renewSome(gr group, holds []*hold) {
+func (ho *Holder) sendRenewal(rk renewalKey, holds []*hold) {
 	msg := wire.PermitRenew{
 		Holder: ho.Self.Name, Incarnation: ho.Incarnation, Peer: ho.Self.Peer,
-		Service: gr.key.Service, FailureDomain: gr.key.FailureDomain,
+		Service: rk.key.Service, FailureDomain: rk.key.FailureDomain,
 	}
 	for _, hd := range holds {
 		if hd.granted {
@@ -399,5 +405,5 @@
 			msg.Waiting = append(msg.Waiting, hd.Request)
 		}
 	}
-	ho.tell(gr.to, msg)
+	ho.send(rk.to, msg)
 }
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -1,7 +1,8 @@
-// Package permit reserves engine memory for long prompts. One instance coordinates a pool, the replicas of a service
-// in one failure domain, and arbitrates its long prompts alone. Nothing is stored: who holds or waits says so again and
-// again, so that another instance takes a pool over from what it hears. Two coordinators at once are only less good,
-// since an engine refuses what does not fit and says that it ran nothing.
+// Package permit reserves engine memory for long prompts. A pool, the replicas of a service in one failure domain, has one
+// instance as its coordinator, which alone decides on the pool's long prompts. Nothing is persisted: the holders of
+// permits and of queued requests renew them periodically, so that another instance can rebuild the state of a pool from
+// the renewals. Two coordinators at the same time make worse decisions but do no harm, since an engine refuses a request
+// that does not fit and reports that it was not executed.
 package permit
 
 import (
@@ -12,39 +13,40 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// Rules of the reservations.
+// Parameters of the reservations.
 const (
-	// Headroom is the part of an engine's memory that long prompts leave to short ones.
+	// Headroom is the fraction of an engine's memory that long prompts must leave to short ones.
 	Headroom = 0.15
-	// Lasts is how long a reservation stands without being renewed.
+	// Lasts is the time after which a reservation expires unless it is renewed.
 	Lasts = 6 * time.Second
-	// settleTime is how long a new coordinator listens before it grants, so that holders can name what they have. It
-	// is longer than the time in which they notice the change.
+	// settleTime is how long a new coordinator waits before it grants memory, so that holders can report their permits
+	// first; otherwise it could grant memory that is already reserved. It is longer than holders take to notice the change
+	// of the coordinator.
 	settleTime = 400 * time.Millisecond
-	// forgetTime is how long a pool is kept that nobody asks for.
-	forgetTime = time.Minute
-	// patience is how long the first in the queue may be overtaken by smaller requests that fit, as a part of its
-	// whole wait.
-	patience = 0.25
-	// servePeriod is how often a queue is gone through without a reservation's end or a new request.
-	servePeriod = 50 * time.Millisecond
-	// maxQueue bounds the queue of one pool.
+	// poolIdleTime is how long the state of a pool is kept after its last message, once it has no reservations and its queue
+	// is empty.
+	poolIdleTime = time.Minute
+	// overtakeShare is the fraction of its total wait during which a request may be overtaken by smaller ones that fit.
+	overtakeShare = 0.25
+	// scanPeriod is the time between two scans of a queue when no reservation is returned and no request is added.
+	scanPeriod = 50 * time.Millisecond
+	// maxQueue is the maximum length of the queue of one pool.
 	maxQueue = 10_000
 )
 
-// Pool names the replicas of a service in one failure domain.
+// Pool identifies the replicas of a service in one failure domain.
 type Pool struct{ Service, FailureDomain string }
 
 // Engine is a replica that may take long prompts.
 type Engine struct {
 	Upstream event.Upstream
-	// Memory is what it holds, in tokens.
+	// Memory is the engine's capacity in tokens.
 	Memory int64
-	// Queued is the prompt work that it reports.
+	// Queued is the prompt work that the engine reports as waiting, in tokens.
 	Queued int64
 }
 
-// usable is what long prompts may reserve of the engine.
+// usable returns the memory in tokens that long prompts may reserve on the engine.
 func (en Engine) usable() int64 {
 	return int64(float64(en.Memory) * (1 - Headroom))
 }
@@ -52,21 +54,22 @@
 // Reservation is memory reserved for one request.
 type Reservation struct {
 	event.PermitAsked
-	// Share is what it takes of each of its Upstreams, which are in the order of their segments.
+	// Share is the memory in tokens reserved on each of the Upstreams, which are in the order of their segments.
 	Share int64
+	// Until is when the reservation expires unless it is renewed.
 	Until time.Time
 }
 
-// Coordinator arbitrates the pools that this instance is asked for.
+// Coordinator grants the memory of the pools for which this instance receives requests.
 type Coordinator struct {
 	Self string
-	// Engines returns the live replicas of a pool, in the order of their names.
+	// Engines returns the live replicas of a pool, sorted by name.
 	Engines func(pool Pool) []Engine
-	// Upstream finds a replica by name, leaving or gone ones as long as they are known.
+	// Upstream returns a replica by name, including leaving and gone ones as long as they are known.
 	Upstream func(name string) (event.Upstream, bool)
-	// Gone tells that the holder's run is over: declared dead or followed by another.
+	// Gone reports whether the holder's run has ended: it was declared dead, or a later run has its name.
 	Gone func(holder string, incarnation uint64) bool
-	// Listed tells that the platform's list has the holder. A new one is not there yet, a dead one no longer.
+	// Listed reports whether the platform's list contains the holder. A new holder is not in it yet, a dead one no longer.
 	Listed func(holder string) bool
 
 	now     time.Time
@@ -74,20 +77,25 @@
 	pools   map[Pool]*pool
 }
 
-// pool is what is known of one pool.
+// pool is the state of one pool.
 type pool struct {
-	key          Pool
+	key Pool
+	// reservations contains the reservations by request.
 	reservations map[string]*Reservation
-	reserved     map[string]int64
-	queue        []*waiting
-	// turns holds the virtual time of each organisation's next turn, virtual that of the last grant.
-	turns   map[string]float64
-	virtual float64
-	// opens is when granting begins, heard when somebody last asked.
-	opens time.Time
-	heard time.Time
-	// served is when the queue was last gone through.
-	served time.Time
+	// reserved is the reserved memory in tokens by engine.
+	reserved map[string]int64
+	queue    []*waiter
+	// finishTags is the virtual time by organisation at which its last granted request ends, which is when its next one may
+	// start.
+	finishTags map[string]float64
+	// virtualTime is the virtual start time of the last grant.
+	virtualTime float64
+	// grantFrom is when the coordinator begins to grant.
+	grantFrom time.Time
+	// usedAt is when the last message about the pool arrived.
+	usedAt time.Time
+	// scannedAt is when the queue was last scanned.
+	scannedAt time.Time
 }
 
 // New returns a coordinator without pools.
@@ -95,24 +103,24 @@
 	return &Coordinator{Self: self, pools: map[Pool]*pool{}}
 }
 
-// Reduce takes one event and returns what is to be done. The slice is valid until the next call.
+// Reduce applies one event and returns the effects to carry out. The slice is valid until the next call.
 func (co *Coordinator) Reduce(now time.Time, ev event.Event) []effect.Effect {
 	co.now = now
 	co.effects = co.effects[:0]
 	switch ev := ev.(type) {
 	case event.PermitAsked:
-		co.asked(ev)
+		co.handleAsked(ev)
 	case event.PermitReturned:
-		co.returned(ev)
+		co.handleReturned(ev)
 	case event.PermitRenewed:
-		co.renewed(ev)
+		co.handleRenewed(ev)
 	case event.Ticked:
 		co.tick()
 	}
 	return co.effects
 }
 
-// Reserved returns what is reserved of each engine of the pool, in tokens.
+// Reserved returns the reserved memory in tokens by engine of the pool. Engines without reservations are left out.
 func (co *Coordinator) Reserved(key Pool) map[string]int64 {
 	if pl, ok := co.pools[key]; ok {
 		return pl.reserved
@@ -120,7 +128,7 @@
 	return nil
 }
 
-func (co *Coordinator) tell(address string, msg wire.Message) {
+func (co *Coordinator) send(address string, msg wire.Message) {
 	co.effects = append(co.effects, effect.Tell{Address: address, Message: msg})
 }
 
@@ -131,16 +139,16 @@
 			key:          key,
 			reservations: map[string]*Reservation{},
 			reserved:     map[string]int64{},
-			turns:        map[string]float64{},
-			opens:        co.now.Add(settleTime),
+			finishTags:   map[string]float64{},
+			grantFrom:    co.now.Add(settleTime),
 		}
 		co.pools[key] = pl
 	}
-	pl.heard = co.now
+	pl.usedAt = co.now
 	return pl
 }
 
-func (co *Coordinator) asked(ev event.PermitAsked) {
+func (co *Coordinator) handleAsked(ev event.PermitAsked) {
 	ev.Tokens = max(1, ev.Tokens)
 	pl := co.pool(Pool{ev.Service, ev.FailureDomain})
 	if rv, ok := pl.reservations[ev.Request]; ok {
@@ -149,7 +157,7 @@
 		return
 	}
 	if len(ev.Upstreams) > 0 {
-		co.takeOver(pl, ev)
+		co.restore(pl, ev)
 		return
 	}
 	engines := co.Engines(pl.key)
@@ -157,18 +165,18 @@
 		co.answer(ev, wire.PermitGrant{RetryAfter: Lasts})
 		return
 	}
-	if pl.waits(ev.Request) == nil {
-		pl.queue = append(pl.queue, &waiting{PermitAsked: ev, since: co.now.Add(-ev.Waited), until: co.now.Add(ev.Wait)})
+	if pl.findQueued(ev.Request) == nil {
+		pl.queue = append(pl.queue, &waiter{PermitAsked: ev, since: co.now.Add(-ev.Waited), until: co.now.Add(ev.Wait)})
 	}
-	co.serve(pl, engines)
-	if pl.waits(ev.Request) != nil {
+	co.scanQueue(pl, engines)
+	if pl.findQueued(ev.Request) != nil {
 		co.answer(ev, wire.PermitGrant{Queued: true})
 	}
 }
 
-// takeOver notes a reservation that an earlier coordinator granted. It stands even if it takes more than is there.
-func (co *Coordinator) takeOver(pl *pool, ev event.PermitAsked) {
-	pl.leaveQueue(ev.Request)
+// restore records a reservation that an earlier coordinator granted. It is valid even if it exceeds the free memory.
+func (co *Coordinator) restore(pl *pool, ev event.PermitAsked) {
+	pl.dequeue(ev.Request)
 	rv := &Reservation{PermitAsked: ev, Share: shareOf(ev.Tokens, len(ev.Upstreams)), Until: co.now.Add(Lasts)}
 	pl.reserve(rv)
 	co.grant(rv)
@@ -200,23 +208,23 @@
 	msg.Request = ask.Request
 	msg.Service = ask.Service
 	msg.FailureDomain = ask.FailureDomain
-	co.tell(ask.Peer, msg)
+	co.send(ask.Peer, msg)
 }
 
-func (co *Coordinator) returned(ev event.PermitReturned) {
+func (co *Coordinator) handleReturned(ev event.PermitReturned) {
 	pl, ok := co.pools[Pool{ev.Service, ev.FailureDomain}]
 	if !ok {
 		return
 	}
-	pl.heard = co.now
-	pl.leaveQueue(ev.Request)
+	pl.usedAt = co.now
+	pl.dequeue(ev.Request)
 	if rv, ok := pl.reservations[ev.Request]; ok {
 		pl.free(rv)
-		co.serve(pl, co.Engines(pl.key))
+		co.scanQueue(pl, co.Engines(pl.key))
 	}
 }
 
-func (co *Coordinator) renewed(ev event.PermitRenewed) {
+func (co *Coordinator) handleRenewed(ev event.PermitRenewed) {
 	pl := co.pool(Pool{ev.Service, ev.FailureDomain})
 	var unknown []string
 	for _, request := range ev.Requests {
@@ -228,16 +236,16 @@
 	}
 	for _, request := range ev.Waiting {
 		if rv, ok := pl.reservations[request]; ok {
-			// The grant got lost. Unless it is told again, the holder would wait and renew for as long as it may.
+			// The grant was lost. Unless it is sent again, the holder waits and renews until its deadline.
 			rv.Until = co.now.Add(Lasts)
 			co.grant(rv)
 			continue
 		}
-		if pl.waits(request) == nil {
+		if pl.findQueued(request) == nil {
 			unknown = append(unknown, request)
 		}
 	}
-	co.tell(ev.Peer, wire.PermitState{From: co.Self, Unknown: unknown})
+	co.send(ev.Peer, wire.PermitState{From: co.Self, Unknown: unknown})
 }
 
 func (co *Coordinator) tick() {
@@ -245,18 +253,19 @@
 		if len(pl.queue) > 0 || len(pl.reservations) > 0 {
 			co.sweep(pl)
 		}
-		if len(pl.queue) > 0 && co.now.Sub(pl.served) >= servePeriod {
-			co.serve(pl, co.Engines(key))
+		if len(pl.queue) > 0 && co.now.Sub(pl.scannedAt) >= scanPeriod {
+			co.scanQueue(pl, co.Engines(key))
 		}
-		if len(pl.queue)+len(pl.reservations) == 0 && co.now.Sub(pl.heard) > forgetTime {
+		if len(pl.queue)+len(pl.reservations) == 0 && co.now.Sub(pl.usedAt) > poolIdleTime {
 			delete(co.pools, key)
 		}
 	}
 }
 
-// sweep ends reservations that were not renewed or whose holder is dead, and frees what the engines still hold for a
-// dead holder's request: its streams may be open and silent, and its exported cache has no other end. Of a holder that
-// is live but could not be heard only the reservation ends, since its request may be running well.
+// sweep ends reservations that were not renewed or whose holder is dead. For a holder that is dead or not listed it also
+// frees what the engines still hold for the request: its streams may be open without sending data, and nothing else frees
+// its exported cache. For a live holder whose renewals did not arrive it ends the reservation alone, since the request may
+// still be running.
 func (co *Coordinator) sweep(pl *pool) {
 	for _, rv := range pl.reservations {
 		gone := co.Gone(rv.Holder, rv.Incarnation)
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -26,7 +26,7 @@
 	return list
 }
 
-// newCoordinator returns one that has settled, over so many engines, with nobody gone.
+// newCoordinator returns a coordinator of count engines. No holder is gone, and all are listed.
 func newCoordinator(count int) *permit.Coordinator {
 	co := permit.New("entry-0")
 	pool := engines(count)
@@ -37,14 +37,14 @@
 	return co
 }
 
-func asks(request string, tokens int64) event.PermitAsked {
+func newAsk(request string, tokens int64) event.PermitAsked {
 	return event.PermitAsked{
 		Holder: "entry-1", Peer: "1", Request: request, Service: "lyric", FailureDomain: "a", Organisation: "parish",
 		Weight: 1, Tokens: tokens, Wait: time.Minute,
 	}
 }
 
-func grants(effects []effect.Effect) map[string][]string {
+func grantedUpstreams(effects []effect.Effect) map[string][]string {
 	granted := map[string][]string{}
 	for _, eff := range effects {
 		if tell, ok := eff.(effect.Tell); ok {
@@ -56,10 +56,10 @@
 	return granted
 }
 
-func TestReservationsNeverExceedMemoryAndEnd(t *testing.T) {
-	// Requests of all lengths ask, renew, return or are forgotten by holders that died, in any order.
-	// In the coordinator's own view no engine is reserved beyond its memory less the headroom, every grant names all the
-	// engines it needs, and when the holders have fallen silent nothing stays reserved.
+func TestReservationsStayWithinMemoryAndExpire(t *testing.T) {
+	// Permits for requests of all lengths are requested, renewed, returned or abandoned by holders that died, in any order.
+	// By the coordinator's state no engine may be reserved beyond its memory less the headroom, and every grant must name
+	// at least one engine and at most all of them. Once the holders send nothing more, all reservations must expire.
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 6).Draw(t, "engines")
 		co := newCoordinator(count)
@@ -72,7 +72,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				asked++
-				effects = co.Reduce(now, asks(request, rapid.Int64Range(1, 3*memory).Draw(t, "tokens")))
+				effects = co.Reduce(now, newAsk(request, rapid.Int64Range(1, 3*memory).Draw(t, "tokens")))
 			case 1:
 				effects = co.Reduce(now, event.PermitReturned{Request: request, Service: "lyric", FailureDomain: "a"})
 			case 2:
@@ -81,7 +81,7 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 				effects = co.Reduce(now, event.Ticked{})
 			}
-			for request, names := range grants(effects) {
+			for request, names := range grantedUpstreams(effects) {
 				assert.Assert(t, len(names) > 0 && len(names) <= count, "%s: %v", request, names)
 			}
 			for name, tokens := range co.Reserved(key) {
@@ -97,26 +97,27 @@
 }
 
 func TestLargeRequestIsNotStarved(t *testing.T) {
-	// A prompt that needs every engine waits while smaller ones come and go without end.
-	// They overtake it for a part of its time; then nothing more is granted before it, and it gets all engines at once.
+	// A prompt that needs every engine waits while smaller ones are granted and returned without end. Without a limit to
+	// overtaking they would take all memory that becomes free. They may overtake the large prompt for a fraction of its
+	// wait; after that nothing else is granted before it, and it gets all engines at once.
 	co := newCoordinator(3)
 	now := start
-	co.Reduce(now, asks("small-0", 200_000))
+	co.Reduce(now, newAsk("small-0", 200_000))
 	now = now.Add(time.Second)
 	co.Reduce(now, event.Ticked{})
-	large := asks("large", 3*memory*8/10)
+	large := newAsk("large", 3*memory*8/10)
 	co.Reduce(now, large)
 	var held []string
 	for i := 1; i < 100; i++ {
 		now = now.Add(time.Second)
-		granted := grants(co.Reduce(now, asks(fmt.Sprintf("small-%d", i), 200_000)))
+		granted := grantedUpstreams(co.Reduce(now, newAsk(fmt.Sprintf("small-%d", i), 200_000)))
 		for request := range granted {
 			held = append(held, request)
 		}
 		co.Reduce(now, event.PermitRenewed{Peer: "1", Service: "lyric", FailureDomain: "a", Requests: held})
 		if len(held) > 0 && i%2 == 0 {
 			returned := event.PermitReturned{Request: held[0], Service: "lyric", FailureDomain: "a"}
-			granted := grants(co.Reduce(now, returned))
+			granted := grantedUpstreams(co.Reduce(now, returned))
 			held = held[1:]
 			if names, ok := granted["large"]; ok {
 				assert.Equal(t, len(names), 3)
@@ -126,29 +127,29 @@
 				held = append(held, request)
 			}
 		}
-		if _, ok := grants(co.Reduce(now, event.Ticked{}))["large"]; ok {
+		if _, ok := grantedUpstreams(co.Reduce(now, event.Ticked{}))["large"]; ok {
 			return
 		}
 	}
 	t.Fatal("the large request starved")
 }
 
-func TestDeadHolderIsSwept(t *testing.T) {
-	// An instance dies while its long prompt runs over two engines. Its streams may look open to the engines for long.
-	// The coordinator ends the reservation and has both engines free what they hold; for a holder that lives but could
-	// not be heard it frees nothing, since its caller may still be getting the answer.
+func TestReservationOfDeadHolderIsSwept(t *testing.T) {
+	// An instance dies while its long prompt runs on two engines, to which its streams may look open for a long time. The
+	// coordinator must end the reservation and have both engines free what they hold. For a live holder whose renewals do
+	// not arrive it must free nothing on the engines, since the caller may still be receiving the answer.
 	cases := map[string]struct {
-		gone  bool
+		dead  bool
 		swept int
-	}{"dead": {true, 2}, "not heard": {false, 0}}
+	}{"dead": {true, 2}, "alive but unreachable": {false, 0}}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			co := newCoordinator(2)
 			now := start
-			co.Reduce(now, asks("r", 500_000))
+			co.Reduce(now, newAsk("r", 500_000))
 			now = now.Add(time.Second)
-			assert.Equal(t, len(grants(co.Reduce(now, event.Ticked{}))["r"]), 2)
-			co.Gone = func(string, uint64) bool { return tc.gone }
+			assert.Equal(t, len(grantedUpstreams(co.Reduce(now, event.Ticked{}))["r"]), 2)
+			co.Gone = func(string, uint64) bool { return tc.dead }
 			now = now.Add(permit.Lasts)
 			swept := 0
 			for _, eff := range co.Reduce(now, event.Ticked{}) {
@@ -162,136 +163,138 @@
 	}
 }
 
-func TestOrganisationsTakeTurns(t *testing.T) {
-	// One organisation queues ten long prompts before another queues one. When memory comes free, the other one's goes
-	// first, since the first organisation has had its turn.
+func TestQueueIsFairBetweenOrganisations(t *testing.T) {
+	// One organisation queues ten long prompts before another queues one. When memory becomes free, the other organisation's
+	// prompt must be granted first, since the first one has already been granted memory.
 	co := newCoordinator(1)
 	now := start
 	for i := range 10 {
-		co.Reduce(now, asks(fmt.Sprint("much-", i), 300_000))
+		co.Reduce(now, newAsk(fmt.Sprint("much-", i), 300_000))
 	}
 	now = now.Add(time.Second)
-	assert.Equal(t, len(grants(co.Reduce(now, event.Ticked{}))), 1)
-	other := asks("little", 300_000)
+	assert.Equal(t, len(grantedUpstreams(co.Reduce(now, event.Ticked{}))), 1)
+	other := newAsk("little", 300_000)
 	other.Organisation = "choir"
 	co.Reduce(now, other)
-	granted := grants(co.Reduce(now, event.PermitReturned{Request: "much-0", Service: "lyric", FailureDomain: "a"}))
+	granted := grantedUpstreams(co.Reduce(now, event.PermitReturned{Request: "much-0", Service: "lyric", FailureDomain: "a"}))
 	assert.Equal(t, len(granted["little"]), 1, "%v", granted)
 }
 
-// pair is a holder and two coordinators whose messages arrive at once unless the coordinator is down.
-type pair struct {
+// cluster simulates a holder and two coordinators. Messages arrive immediately unless the coordinator is down.
+type cluster struct {
 	now    time.Time
 	holder *permit.Holder
 	cos    map[string]*permit.Coordinator
-	down   string
-	// lose makes the next grants get lost.
-	lose   int
-	told   []string
-	answer []event.PermitAnswered
+	// down is the name of the coordinator that receives nothing.
+	down string
+	// lostGrants is the number of grants still to be lost.
+	lostGrants int
+	// recipients contains the addresses of all delivered messages.
+	recipients []string
+	answers    []event.PermitAnswered
 }
 
-func newPair() *pair {
+func newCluster() *cluster {
 	self := event.Instance{Name: "entry-9", Peer: "entry-9", FailureDomain: "a"}
-	pr := &pair{now: start, holder: permit.NewHolder(self, 1), cos: map[string]*permit.Coordinator{}}
+	cl := &cluster{now: start, holder: permit.NewHolder(self, 1), cos: map[string]*permit.Coordinator{}}
 	for _, name := range []string{"entry-0", "entry-1"} {
-		pr.cos[name] = newCoordinator(3)
-		pr.cos[name].Self = name
-		pr.holder.Instances = append(pr.holder.Instances, event.Instance{Name: name, Peer: name, FailureDomain: "a"})
+		cl.cos[name] = newCoordinator(3)
+		cl.cos[name].Self = name
+		cl.holder.Instances = append(cl.holder.Instances, event.Instance{Name: name, Peer: name, FailureDomain: "a"})
 	}
-	return pr
+	return cl
 }
 
-func (pr *pair) carry(effects []effect.Effect) {
+func (cl *cluster) deliver(effects []effect.Effect) {
 	for _, eff := range append([]effect.Effect(nil), effects...) {
 		tell, ok := eff.(effect.Tell)
-		if !ok || tell.Address == pr.down {
+		if !ok || tell.Address == cl.down {
 			continue
 		}
-		pr.told = append(pr.told, tell.Address)
+		cl.recipients = append(cl.recipients, tell.Address)
 		switch msg := tell.Message.(type) {
 		case wire.PermitAsk:
-			pr.carry(pr.cos[tell.Address].Reduce(pr.now, event.PermitAsked(msg)))
+			cl.deliver(cl.cos[tell.Address].Reduce(cl.now, event.PermitAsked(msg)))
 		case wire.PermitRenew:
-			pr.carry(pr.cos[tell.Address].Reduce(pr.now, event.PermitRenewed(msg)))
+			cl.deliver(cl.cos[tell.Address].Reduce(cl.now, event.PermitRenewed(msg)))
 		case wire.PermitReturn:
-			pr.carry(pr.cos[tell.Address].Reduce(pr.now, event.PermitReturned(msg)))
+			cl.deliver(cl.cos[tell.Address].Reduce(cl.now, event.PermitReturned(msg)))
 		case wire.PermitGrant:
-			if msg.Granted && pr.lose > 0 {
-				pr.lose--
+			if msg.Granted && cl.lostGrants > 0 {
+				cl.lostGrants--
 				continue
 			}
-			pr.hear(event.PermitGranted(msg))
+			cl.reduce(event.PermitGranted(msg))
 		case wire.PermitState:
-			pr.hear(event.PermitsKnown(msg))
+			cl.reduce(event.PermitsKnown(msg))
 		}
 	}
 }
 
-func (pr *pair) hear(ev event.Event) {
-	effects, answers := pr.holder.Reduce(pr.now, ev)
-	pr.answer = append(pr.answer, answers...)
-	pr.carry(effects)
+func (cl *cluster) reduce(ev event.Event) {
+	effects, answers := cl.holder.Reduce(cl.now, ev)
+	cl.answers = append(cl.answers, answers...)
+	cl.deliver(effects)
 }
 
-func (pr *pair) run(period time.Duration) {
-	for end := pr.now.Add(period); pr.now.Before(end); {
-		pr.now = pr.now.Add(10 * time.Millisecond)
-		for name, co := range pr.cos {
-			if name != pr.down {
-				pr.carry(co.Reduce(pr.now, event.Ticked{}))
+func (cl *cluster) run(period time.Duration) {
+	for end := cl.now.Add(period); cl.now.Before(end); {
+		cl.now = cl.now.Add(10 * time.Millisecond)
+		for name, co := range cl.cos {
+			if name != cl.down {
+				cl.deliver(co.Reduce(cl.now, event.Ticked{}))
 			}
 		}
-		pr.hear(event.Ticked{})
+		cl.reduce(event.Ticked{})
 	}
 }
 
 func TestAnotherCoordinatorTakesOver(t *testing.T) {
-	// A long prompt runs and another waits when their coordinator is killed.
-	// The holder gets no answers, passes the coordinator over and names what it has to the next one, which notes the
-	// running one's memory as taken before it grants anything; the waiting one goes on waiting there.
-	pr := newPair()
-	pr.carry(pr.holder.Ask(pr.now, 1, asks("running", 1_000_000), []string{"a"}))
-	pr.run(time.Second)
-	assert.Equal(t, len(pr.answer), 1)
-	assert.Equal(t, len(pr.answer[0].Upstreams), 3)
-	pr.down = pr.told[0]
-	pr.carry(pr.holder.Ask(pr.now, 2, asks("waiting", 300_000), []string{"a"}))
-	pr.run(2 * time.Second)
-	assert.Equal(t, len(pr.answer), 1, "the second must wait: %v", pr.answer)
-	pr.carry(pr.holder.Release(pr.now, "running"))
-	pr.run(200 * time.Millisecond)
-	assert.Equal(t, len(pr.answer), 2)
-	assert.Assert(t, pr.answer[1].Granted)
+	// A long prompt runs when its coordinator is killed, and another prompt asks for a permit. The holder gets no answers
+	// and reports its permit to the next coordinator, which must record the memory of the running prompt as reserved before
+	// it grants anything. The other prompt must wait there until the running one is released.
+	cl := newCluster()
+	cl.deliver(cl.holder.Ask(cl.now, 1, newAsk("running", 1_000_000), []string{"a"}))
+	cl.run(time.Second)
+	assert.Equal(t, len(cl.answers), 1)
+	assert.Equal(t, len(cl.answers[0].Upstreams), 3)
+	cl.down = cl.recipients[0]
+	cl.deliver(cl.holder.Ask(cl.now, 2, newAsk("waiting", 300_000), []string{"a"}))
+	cl.run(2 * time.Second)
+	assert.Equal(t, len(cl.answers), 1, "the second must wait: %v", cl.answers)
+	cl.deliver(cl.holder.Release(cl.now, "running"))
+	cl.run(200 * time.Millisecond)
+	assert.Equal(t, len(cl.answers), 2)
+	assert.Assert(t, cl.answers[1].Granted)
 }
 
-func TestLostGrantIsToldAgain(t *testing.T) {
-	// The coordinator has told the holder that its request waits, and then its grant gets lost on the way.
-	// The holder renews the request as one that waits, hears of the grant with the answer, and its caller gets an answer
-	// a second later instead of never.
-	pr := newPair()
-	pr.lose = 1
-	pr.carry(pr.holder.Ask(pr.now, 1, asks("r", 1_000_000), []string{"a"}))
-	pr.run(3 * time.Second)
-	assert.Equal(t, pr.lose, 0)
-	assert.Equal(t, len(pr.answer), 1)
-	assert.Assert(t, pr.answer[0].Granted)
+func TestLostGrantIsResent(t *testing.T) {
+	// The coordinator has queued a request, and the message that grants it later is lost. The holder renews the request as
+	// a waiting one, a second later at the latest, and the coordinator must answer that with the grant. Otherwise the caller
+	// would never get an answer.
+	cl := newCluster()
+	cl.lostGrants = 1
+	cl.deliver(cl.holder.Ask(cl.now, 1, newAsk("r", 1_000_000), []string{"a"}))
+	cl.run(3 * time.Second)
+	assert.Equal(t, cl.lostGrants, 0)
+	assert.Equal(t, len(cl.answers), 1)
+	assert.Assert(t, cl.answers[0].Granted)
 }
 
-func TestNoCoordinatorIsSaid(t *testing.T) {
-	// No coordinator answers, the instance itself is the last that is asked. The request hears that they are lost and
-	// goes on without a permit, within two seconds.
-	pr := newPair()
-	pr.cos = map[string]*permit.Coordinator{}
-	pr.holder.Instances = pr.holder.Instances[:1]
-	pr.down = pr.holder.Instances[0].Name
-	pr.carry(pr.holder.Ask(pr.now, 1, asks("r", 1000), []string{"a"}))
-	pr.run(2 * time.Second)
-	assert.Equal(t, len(pr.answer), 1)
-	assert.Assert(t, pr.answer[0].Lost)
+func TestMissingCoordinatorIsReported(t *testing.T) {
+	// The only coordinator does not answer. Within two seconds the holder must answer the request with Lost, so that it can
+	// proceed without a permit.
+	cl := newCluster()
+	cl.cos = map[string]*permit.Coordinator{}
+	cl.holder.Instances = cl.holder.Instances[:1]
+	cl.down = cl.holder.Instances[0].Name
+	cl.deliver(cl.holder.Ask(cl.now, 1, newAsk("r", 1000), []string{"a"}))
+	cl.run(2 * time.Second)
+	assert.Equal(t, len(cl.answers), 1)
+	assert.Assert(t, cl.answers[0].Lost)
 }
 
-// poolSize is that of the largest pools in sight: 12,000 replicas of 40 models in 7 failure domains.
+// poolSize is the size of the largest expected pools: 12,000 replicas of 40 models in 7 failure domains.
 const poolSize = 43
 
 func BenchmarkCoordinator(b *testing.B) {
@@ -299,14 +302,14 @@
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
 			co := newCoordinator(poolSize)
 			now := start.Add(time.Second)
-			co.Reduce(start, asks("first", 1))
+			co.Reduce(start, newAsk("first", 1))
 			for i := range waiting {
-				ask := asks(fmt.Sprint("wait-", i), poolSize*memory*8/10)
+				ask := newAsk(fmt.Sprint("wait-", i), poolSize*memory*8/10)
 				ask.Wait = 1000 * time.Hour
 				co.Reduce(now, ask)
 			}
 			for b.Loop() {
-				co.Reduce(now, asks("r", 200_000))
+				co.Reduce(now, newAsk("r", 200_000))
 				co.Reduce(now, event.PermitReturned{Request: "r", Service: "lyric", FailureDomain: "a"})
 			}
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "permits/s")
@@ -314,10 +317,10 @@
 	}
 }
 
-// BenchmarkBytes gives the encoded bytes that one permit takes between its holder and the coordinator.
+// BenchmarkBytes measures the encoded size of each message that the holder and the coordinator exchange for one permit.
 func BenchmarkBytes(b *testing.B) {
 	request := "entry-012.5f3k2a9c1d-3f"
-	ask := wire.PermitAsk(asks(request, 1_000_000))
+	ask := wire.PermitAsk(newAsk(request, 1_000_000))
 	names := []string{"lyric-assist-0123", "lyric-assist-0124", "lyric-assist-0125"}
 	messages := map[string]wire.Message{
 		"Ask":    ask,
--- a/internal/permit/queue.go
+++ b/internal/permit/queue.go
@@ -8,14 +8,16 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// waiting is a request in a pool's queue.
-type waiting struct {
+// waiter is a request in a pool's queue.
+type waiter struct {
 	event.PermitAsked
+	// since is when the request began to wait.
 	since time.Time
+	// until is when the request stops waiting.
 	until time.Time
 }
 
-func (pl *pool) waits(request string) *waiting {
+func (pl *pool) findQueued(request string) *waiter {
 	for _, wt := range pl.queue {
 		if wt.Request == request {
 			return wt
@@ -24,12 +26,12 @@
 	return nil
 }
 
-func (pl *pool) leaveQueue(request string) {
-	pl.queue = slices.DeleteFunc(pl.queue, func(wt *waiting) bool { return wt.Request == request })
+func (pl *pool) dequeue(request string) {
+	pl.queue = slices.DeleteFunc(pl.queue, func(wt *waiter) bool { return wt.Request == request })
 }
 
-// rank is the class's priority, raised by one for each third of the whole wait that has passed.
-func (wt *waiting) rank(now time.Time) int {
+// agedPriority returns the priority of the request's class, plus one for each third of its total wait that has passed.
+func (wt *waiter) agedPriority(now time.Time) int {
 	total := wt.until.Sub(wt.since)
 	if total <= 0 {
 		return wt.Priority
@@ -37,40 +39,40 @@
 	return wt.Priority + int(3*now.Sub(wt.since)/total)
 }
 
-// impatient tells that nothing may overtake it any more.
-func (wt *waiting) impatient(now time.Time) bool {
-	return now.Sub(wt.since) > time.Duration(patience*float64(wt.until.Sub(wt.since)))
+// blocksQueue reports whether the request has waited so long that no later one may be granted before it.
+func (wt *waiter) blocksQueue(now time.Time) bool {
+	return now.Sub(wt.since) > time.Duration(overtakeShare*float64(wt.until.Sub(wt.since)))
 }
 
-// serve grants what fits, in the order of rank, then to the organisation whose turn it is, then by age.
-// A request gets all of its engines at once or none, so two that want several cannot wait for each other.
-func (co *Coordinator) serve(pl *pool, engines []Engine) {
-	pl.served = co.now
-	if co.now.Before(pl.opens) {
+// scanQueue grants the requests that fit, ordered by aged priority, then by the start tag of their organisation, then by
+// age. A request gets all of its engines at once or none, so that two requests that need several engines cannot deadlock.
+func (co *Coordinator) scanQueue(pl *pool, engines []Engine) {
+	pl.scannedAt = co.now
+	if co.now.Before(pl.grantFrom) {
 		return
 	}
-	pl.queue = slices.DeleteFunc(pl.queue, func(wt *waiting) bool { return !co.now.Before(wt.until) || co.Gone(wt.Holder, wt.Incarnation) })
-	for co.serveOne(pl, engines) {
+	pl.queue = slices.DeleteFunc(pl.queue, func(wt *waiter) bool { return !co.now.Before(wt.until) || co.Gone(wt.Holder, wt.Incarnation) })
+	for co.grantNext(pl, engines) {
 	}
 }
 
-func (co *Coordinator) serveOne(pl *pool, engines []Engine) bool {
+func (co *Coordinator) grantNext(pl *pool, engines []Engine) bool {
 	if len(pl.queue) == 0 {
 		return false
 	}
-	slices.SortStableFunc(pl.queue, func(one, two *waiting) int { return co.compare(pl, one, two) })
-	rm := pl.room(engines)
+	slices.SortStableFunc(pl.queue, func(a, b *waiter) int { return co.compare(pl, a, b) })
+	fm := pl.freeMemory(engines)
 	for _, wt := range pl.queue {
-		names := rm.place(wt.Tokens)
-		if names == nil && wt.impatient(co.now) {
-			// Smaller requests would go on taking every piece of memory that comes free, and this one would never fit.
+		names := fm.place(wt.Tokens)
+		if names == nil && wt.blocksQueue(co.now) {
+			// Otherwise smaller requests would take all memory that becomes free, and this one would never fit.
 			return false
 		}
 		if names == nil {
 			continue
 		}
-		pl.leaveQueue(wt.Request)
-		pl.takeTurn(wt)
+		pl.dequeue(wt.Request)
+		pl.advanceTags(wt)
 		rv := &Reservation{PermitAsked: wt.PermitAsked, Share: shareOf(wt.Tokens, len(names)), Until: co.now.Add(Lasts)}
 		rv.Upstreams = names
 		pl.reserve(rv)
@@ -80,37 +82,40 @@
 	return false
 }
 
-func (co *Coordinator) compare(pl *pool, one, two *waiting) int {
-	if diff := two.rank(co.now) - one.rank(co.now); diff != 0 {
+func (co *Coordinator) compare(pl *pool, a, b *waiter) int {
+	if diff := b.agedPriority(co.now) - a.agedPriority(co.now); diff != 0 {
 		return diff
 	}
-	if diff := cmp.Compare(pl.turn(one.Organisation), pl.turn(two.Organisation)); diff != 0 {
+	if diff := cmp.Compare(pl.startTag(a.Organisation), pl.startTag(b.Organisation)); diff != 0 {
 		return diff
 	}
-	return one.since.Compare(two.since)
+	return a.since.Compare(b.since)
 }
 
-// turn is the virtual time at which the organisation's next request is due. It moves on with the tokens granted, the
-// more slowly the greater the organisation's weight; one that asked for nothing saves up nothing.
-func (pl *pool) turn(organisation string) float64 {
-	return max(pl.virtual, pl.turns[organisation])
+// startTag returns the virtual time at which the organisation's next request may start, as in start-time fair queueing. It
+// advances with the tokens granted, more slowly for a larger weight. An organisation accumulates no credit while it
+// requests nothing.
+func (pl *pool) startTag(organisation string) float64 {
+	return max(pl.virtualTime, pl.finishTags[organisation])
 }
 
-func (pl *pool) takeTurn(wt *waiting) {
-	due := pl.turn(wt.Organisation)
-	pl.virtual = due
-	pl.turns[wt.Organisation] = due + float64(wt.Tokens)/max(wt.Weight, minWeight)
-	for organisation, turn := range pl.turns {
-		if turn <= pl.virtual {
-			delete(pl.turns, organisation)
+// advanceTags advances the virtual time and the finish tag of the organisation by a granted request. It deletes finish tags
+// that have no effect any more.
+func (pl *pool) advanceTags(wt *waiter) {
+	start := pl.startTag(wt.Organisation)
+	pl.virtualTime = start
+	pl.finishTags[wt.Organisation] = start + float64(wt.Tokens)/max(wt.Weight, minWeight)
+	for organisation, tag := range pl.finishTags {
+		if tag <= pl.virtualTime {
+			delete(pl.finishTags, organisation)
 		}
 	}
 }
 
-// minWeight stands in for an absent weight.
+// minWeight replaces an absent weight, which is 0.
 const minWeight = 1e-3
 
-// shareOf is what a request takes of each of its engines.
+// shareOf returns the memory in tokens that a request takes on each of its engines, rounded up.
 func shareOf(tokens int64, engines int) int64 {
 	count := int64(max(1, engines))
 	return (tokens + count - 1) / count
