--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -12,27 +12,30 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// link is what leads to one peer address: at most one connection that is used for sending, opened on demand.
+// link exchanges messages with one peer address, over at most one connection that is opened on demand.
 type link struct {
 	qu      *QUIC
 	address string
 	// dialling holds one token while a connection is being opened.
 	dialling chan struct{}
-	queue    chan []byte
+	// queue holds the encoded messages of Tell that wait to be sent.
+	queue chan []byte
 
+	// mu guards the fields below.
 	mu   sync.Mutex
 	conn *quic.Conn
-	// sending tells that a goroutine empties the queue; watching that one waits for a sign of life.
-	sending  bool
+	// sending reports whether a goroutine is sending the queued messages.
+	sending bool
+	// watching reports whether a goroutine of watchSilence is running.
 	watching bool
 }
 
 func newLink(qu *QUIC, address string) *link {
-	return &link{qu: qu, address: address, dialling: make(chan struct{}, 1), queue: make(chan []byte, backlog)}
+	return &link{qu: qu, address: address, dialling: make(chan struct{}, 1), queue: make(chan []byte, queueCapacity)}
 }
 
-// live returns the connection if it still is open.
-func (lk *link) live() *quic.Conn {
+// openConn returns the connection, nil if it is not open.
+func (lk *link) openConn() *quic.Conn {
 	lk.mu.Lock()
 	defer lk.mu.Unlock()
 	if lk.conn == nil || lk.conn.Context().Err() != nil {
@@ -41,9 +44,9 @@
 	return lk.conn
 }
 
-// adopt takes a connection that the peer opened, unless one is in use already.
+// adopt makes a connection that the peer opened the one that is used for sending, unless another one is open already.
 func (lk *link) adopt(conn *quic.Conn) {
-	if lk.live() != nil {
+	if lk.openConn() != nil {
 		return
 	}
 	lk.mu.Lock()
@@ -51,30 +54,32 @@
 	lk.conn = conn
 }
 
+// unused reports whether the link has no open connection, nothing to send and no dial under way.
 func (lk *link) unused() bool {
-	conn := lk.live()
+	conn := lk.openConn()
 	lk.mu.Lock()
 	defer lk.mu.Unlock()
 	return conn == nil && !lk.sending && len(lk.queue) == 0 && len(lk.dialling) == 0
 }
 
-func (lk *link) close(code quic.ApplicationErrorCode, why string) {
-	if conn := lk.live(); conn != nil {
-		_ = conn.CloseWithError(code, why)
+func (lk *link) close(code quic.ApplicationErrorCode, reason string) {
+	if conn := lk.openConn(); conn != nil {
+		_ = conn.CloseWithError(code, reason)
 	}
 }
 
+// recheck closes the connection if the peer's certificate is not valid under the new keys.
 func (lk *link) recheck(mt *material) {
-	conn := lk.live()
+	conn := lk.openConn()
 	if conn == nil {
 		return
 	}
 	if err := mt.verify(conn.ConnectionState().TLS); err != nil {
-		_ = conn.CloseWithError(codeKeys, "the keys were replaced")
+		_ = conn.CloseWithError(codeKeysReplaced, "the keys were replaced")
 	}
 }
 
-// connect returns the open connection or opens one.
+// connect returns the open connection, or dials the peer.
 func (lk *link) connect(ctx context.Context) (*quic.Conn, error) {
 	select {
 	case lk.dialling <- struct{}{}:
@@ -82,7 +87,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if conn := lk.live(); conn != nil {
+	if conn := lk.openConn(); conn != nil {
 		return conn, nil
 	}
 	addr, err := net.ResolveUDPAddr("udp", lk.address)
@@ -98,29 +103,29 @@
 	lk.mu.Lock()
 	lk.conn = conn
 	lk.mu.Unlock()
-	lk.qu.dialled()
+	lk.qu.countDialled()
 	lk.qu.serve(conn)
 	return conn, nil
 }
 
-func (qu *QUIC) dialled() {
-	qu.counts.Lock()
-	defer qu.counts.Unlock()
+func (qu *QUIC) countDialled() {
+	qu.trafficMu.Lock()
+	defer qu.trafficMu.Unlock()
 	qu.traffic.Dialled++
 }
 
-// exchange sends a message on a stream of its own and reads the answer.
+// exchange sends a message on a new stream and returns the answer.
 func (lk *link) exchange(ctx context.Context, raw []byte) ([]byte, error) {
 	conn, err := lk.connect(ctx)
 	if err != nil {
 		return nil, err
 	}
-	lk.watch(conn)
+	lk.watchSilence(conn)
 	stream, err := conn.OpenStreamSync(ctx)
 	if err != nil {
 		return nil, err
 	}
-	// Ends both directions, so that neither end keeps the stream after a failure.
+	// Both directions have to end, so that neither peer keeps the stream after a failure.
 	defer stream.CancelRead(0)
 	stop := context.AfterFunc(ctx, func() {
 		stream.CancelRead(0)
@@ -142,13 +147,14 @@
 		return nil, err
 	}
 	if len(raw) > wire.MaxMessage {
-		return nil, wire.Malformed.New("peers: the message has more than %d bytes", wire.MaxMessage)
+		return nil, wire.Malformed.New("peers: the message is longer than %d bytes", wire.MaxMessage)
 	}
 	return raw, nil
 }
 
-// push queues a message and sees to it that the queue is emptied. It reports whether there was room.
-func (lk *link) push(raw []byte) bool {
+// enqueue queues a message and starts a goroutine that sends the queue, unless one is running. It reports false if the
+// queue is full or the transport does not run.
+func (lk *link) enqueue(raw []byte) bool {
 	select {
 	case lk.queue <- raw:
 	default:
@@ -159,36 +165,38 @@
 	if lk.sending {
 		return true
 	}
-	lk.sending = lk.qu.spawn(lk.empty)
+	lk.sending = lk.qu.spawn(lk.sendQueued)
 	return lk.sending
 }
 
-// empty sends what is queued and ends.
-func (lk *link) empty(ctx context.Context) {
+// sendQueued sends messages until the queue is empty.
+func (lk *link) sendQueued(ctx context.Context) {
 	for {
 		select {
 		case raw := <-lk.queue:
 			if err := lk.send(ctx, raw); err != nil {
-				lk.qu.dropped()
+				lk.qu.countDropped()
 			}
 		default:
-			if lk.idle() {
+			if lk.stopIfEmpty() {
 				return
 			}
 		}
 	}
 }
 
-func (lk *link) idle() bool {
+// stopIfEmpty clears sending if the queue is empty, and reports whether it did.
+func (lk *link) stopIfEmpty() bool {
 	lk.mu.Lock()
 	defer lk.mu.Unlock()
 	lk.sending = len(lk.queue) > 0
 	return !lk.sending
 }
 
+// send sends a message as a datagram, or on a stream if it is longer than maxDatagram.
 func (lk *link) send(ctx context.Context, raw []byte) error {
-	if len(raw) > datagramLimit {
-		ctx, cancel := context.WithTimeout(ctx, streamTime)
+	if len(raw) > maxDatagram {
+		ctx, cancel := context.WithTimeout(ctx, streamTimeout)
 		defer cancel()
 		_, err := lk.exchange(ctx, raw)
 		return err
@@ -197,19 +205,19 @@
 	if err != nil {
 		return err
 	}
-	lk.watch(conn)
+	lk.watchSilence(conn)
 	return conn.SendDatagram(raw)
 }
 
-// watch closes the connection if no packet at all comes back in silenceTimeout after a message: every packet that
-// carries one is acknowledged by a peer that still has the connection.
-func (lk *link) watch(conn *quic.Conn) {
+// watchSilence closes the connection if no packet at all arrives within silenceTimeout after a message was sent: a peer
+// that still has the connection acknowledges every packet that carries a message.
+func (lk *link) watchSilence(conn *quic.Conn) {
 	lk.mu.Lock()
 	defer lk.mu.Unlock()
 	if lk.watching {
 		return
 	}
-	heard := conn.ConnectionStats().PacketsReceived
+	received := conn.ConnectionStats().PacketsReceived
 	lk.watching = lk.qu.spawn(func(ctx context.Context) {
 		timer := time.NewTimer(silenceTimeout)
 		defer timer.Stop()
@@ -217,7 +225,7 @@
 		case <-ctx.Done():
 		case <-conn.Context().Done():
 		case <-timer.C:
-			if conn.ConnectionStats().PacketsReceived == heard {
+			if conn.ConnectionStats().PacketsReceived == received {
 				_ = conn.CloseWithError(codeSilent, "silent")
 			}
 		}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,4 +1,4 @@
-// Package peers carries messages between entry instances.
+// Package peers sends messages between entry instances, over QUIC with certificates of a common authority.
 package peers
 
 import (
@@ -11,21 +11,23 @@
 
 // Transport sends messages to the peer address of another instance.
 type Transport interface {
-	// Ask sends a message and returns the answer, or Unreachable.
+	// Ask sends a message and returns the peer's answer. If none arrives, the error is Unreachable.
 	Ask(ctx context.Context, address string, msg wire.Message) (wire.Message, error)
-	// Tell sends a message of at most about a kilobyte that may be lost.
+	// Tell sends a message without waiting for an answer. The message may be lost. It should be at most about a kilobyte
+	// long, so that it fits into one packet.
 	Tell(address string, msg wire.Message)
 }
 
-// Handler answers a peer's message; the answer to a message that was told is dropped, and nil stands for wire.Ack. The
-// name is the one in the peer's certificate. It may run on many goroutines and must not block for long.
+// Handler handles a message of a peer and returns the answer, where nil stands for wire.Ack. The answer to a message sent
+// by Tell is discarded. from is the name in the peer's certificate. A Handler is called from many goroutines at once and
+// must not block for long.
 type Handler func(ctx context.Context, from string, msg wire.Message) wire.Message
 
 var (
-	// Errors groups what this package returns.
+	// Errors is the namespace of this package's errors.
 	Errors = errorx.NewNamespace("peers")
-	// Unreachable tells that the peer gave no answer; it may have acted on the message.
+	// Unreachable is returned if the peer did not answer. The peer may have processed the message nevertheless.
 	Unreachable = Errors.NewType("unreachable", errorx.Temporary())
-	// BadKeys tells that a key, certificate or authority cannot be used.
+	// BadKeys is returned if a key, a certificate or the authority cannot be used.
 	BadKeys = Errors.NewType("bad_keys")
 )
--- a/internal/peers/kill_test.go
+++ b/internal/peers/proxy_test.go
@@ -13,19 +13,19 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-var cmpHeard = cmp.AllowUnexported(heard{})
+var cmpReceived = cmp.AllowUnexported(received{})
 
-// relay stands between a transport and its peers, so that a test can end the transport without a word to them, as a
-// killed process ends.
-type relay struct {
+// udpProxy forwards packets between a transport and its peers. A test can stop the transport behind it without any packet
+// reaching the peers, as if the process had been killed.
+type udpProxy struct {
 	address string
-	dead    atomic.Bool
+	killed  atomic.Bool
 	outer   net.PacketConn
 	stop    context.CancelFunc
-	ended   chan error
+	done    chan error
 }
 
-func listen(t *testing.T, keys *peers.Keys, address string) *relay {
+func listenBehindProxy(t *testing.T, keys *peers.Keys, address string) *udpProxy {
 	t.Helper()
 	qu, err := peers.Listen("127.0.0.1:0", keys, func(context.Context, string, wire.Message) wire.Message { return nil })
 	assert.NilError(t, err)
@@ -34,19 +34,19 @@
 	assert.NilError(t, err)
 	inner, err := net.Dial("udp", qu.Address())
 	assert.NilError(t, err)
-	rl := &relay{address: outer.LocalAddr().String(), outer: outer, stop: stop, ended: make(chan error, 3)}
-	var caller atomic.Value
-	go func() { rl.ended <- qu.Run(ctx) }()
+	px := &udpProxy{address: outer.LocalAddr().String(), outer: outer, stop: stop, done: make(chan error, 3)}
+	var client atomic.Value
+	go func() { px.done <- qu.Run(ctx) }()
 	go func() {
 		buf := make([]byte, 1<<16)
 		for {
 			n, from, err := outer.ReadFrom(buf)
 			if err != nil {
 				_ = inner.Close()
-				rl.ended <- err
+				px.done <- err
 				return
 			}
-			caller.Store(from)
+			client.Store(from)
 			_, _ = inner.Write(buf[:n])
 		}
 	}()
@@ -55,22 +55,22 @@
 		for {
 			n, err := inner.Read(buf)
 			if err != nil {
-				rl.ended <- err
+				px.done <- err
 				return
 			}
-			if !rl.dead.Load() {
-				_, _ = outer.WriteTo(buf[:n], caller.Load().(net.Addr))
+			if !px.killed.Load() {
+				_, _ = outer.WriteTo(buf[:n], client.Load().(net.Addr))
 			}
 		}
 	}()
-	return rl
+	return px
 }
 
-func (rl *relay) kill() {
-	rl.dead.Store(true)
-	_ = rl.outer.Close()
-	rl.stop()
-	for range cap(rl.ended) {
-		<-rl.ended
+func (px *udpProxy) kill() {
+	px.killed.Store(true)
+	_ = px.outer.Close()
+	px.stop()
+	for range cap(px.done) {
+		<-px.done
 	}
 }
--- a/internal/peers/quic.go
+++ b/internal/peers/quic.go
@@ -14,122 +14,135 @@
 
 // Bounds of the connections between instances.
 const (
+	// handshakeTimeout is how long a handshake may go without progress. Dialling may take twice as long in all.
 	handshakeTimeout = time.Second
-	// idleTimeout closes connections that carry nothing. It is longer than the time in which random probes come back
-	// to the same peer in a fleet of a few hundred, so that probing does not cost a handshake each.
+	// idleTimeout is how long an unused connection stays open. It is longer than the interval between two random probes of
+	// the same peer in a fleet of a few hundred instances; otherwise each probe would need a new handshake.
 	idleTimeout = 10 * time.Minute
-	// silenceTimeout is how long a connection may stay without any packet after something was sent. What lies between
-	// two peers may have lost track of the connection, which then stays open and silent for good; a new one works.
+	// silenceTimeout is how long a connection may go without receiving any packet after a message was sent. The network
+	// between two peers may lose the state of a connection, which then stays open but silent for good, while a new
+	// connection works.
 	silenceTimeout = time.Second
-	// recheckPeriod is how often connections are checked against the keys in force.
-	recheckPeriod = 2 * time.Second
-	// streamTime bounds the reading of one message and the writing of its answer.
-	streamTime = 5 * time.Second
-	// streamsPerConnection and handlers bound what peers can have under way here.
-	streamsPerConnection = 64
-	handlers             = 64
-	// datagramLimit is what fits into a packet on any path; longer messages take a stream.
-	datagramLimit = 1100
-	// backlog is how many told messages wait for one peer; more are dropped.
-	backlog = 128
+	// recheckInterval is how often connections are checked against replaced keys and unused links are removed.
+	recheckInterval = 2 * time.Second
+	// streamTimeout bounds the reading of one message, the writing of its answer, and the sending of a message that Tell
+	// puts on a stream.
+	streamTimeout = 5 * time.Second
+	// maxStreams caps the streams that a peer can have open on one connection.
+	maxStreams = 64
+	// maxHandlers caps the messages that are received on streams and handled at once, over all peers.
+	maxHandlers = 64
+	// maxDatagram is the length in bytes that fits into one packet on any path. Longer messages are sent on a stream.
+	maxDatagram = 1100
+	// queueCapacity is how many messages of Tell can wait for one peer. Further ones are dropped.
+	queueCapacity = 128
 )
 
 // Application error codes of a closed connection.
 const (
+	// codeStopped means that the instance is stopping.
 	codeStopped quic.ApplicationErrorCode = iota + 1
+	// codeSilent means that no packet arrived within silenceTimeout.
 	codeSilent
-	codeKeys
+	// codeKeysReplaced means that the peer's certificate is not valid under the new keys.
+	codeKeysReplaced
 )
 
-// QUIC implements Transport. One UDP socket dials and listens, so that the peers at both ends share a connection.
+// QUIC implements Transport. It dials and listens on the same UDP socket, so that two peers can use one connection for
+// both directions.
 type QUIC struct {
 	keys    *Keys
 	handler Handler
 	socket  net.PacketConn
 	quic    *quic.Transport
-	slots   chan struct{}
+	// handlerSlots holds one token per stream whose message is being handled; its capacity is maxHandlers.
+	handlerSlots chan struct{}
 
-	// mu guards the links; a link's own lock may be taken under it.
+	// mu guards links. A link's own lock may be acquired while mu is held.
 	mu    sync.Mutex
 	links map[string]*link
-	// running guards the group and its context, counts the traffic. Links take both under their own lock, so that no other lock
-	// is taken under these.
-	running sync.Mutex
+	// groupMu guards group and ctx. Links acquire it while holding their own lock, so no other lock may be acquired while
+	// it is held; otherwise the two can deadlock.
+	groupMu sync.Mutex
 	group   *errgroup.Group
 	ctx     context.Context
-	counts  sync.Mutex
-	traffic Traffic
+	// trafficMu guards traffic. As with groupMu, no other lock may be acquired while it is held.
+	trafficMu sync.Mutex
+	traffic   Traffic
 }
 
-// Traffic counts what the transport carried, in bytes within UDP.
+// Traffic holds the counters of a transport.
 type Traffic struct {
-	Sent, Received int64
-	// Dropped counts told messages that found no room or no connection.
+	// Sent counts the bytes of UDP payload sent.
+	Sent int64
+	// Received counts the bytes of UDP payload received.
+	Received int64
+	// Dropped counts messages of Tell that could not be queued or sent.
 	Dropped int64
-	// Dialled counts the connections opened here.
+	// Dialled counts the connections that this instance opened.
 	Dialled int64
 }
 
-// Listen opens the UDP socket at the address. Nothing is heard before Run.
+// Listen opens the UDP socket at the address. No message is received before Run.
 func Listen(address string, keys *Keys, handler Handler) (*QUIC, error) {
 	socket, err := net.ListenPacket("udp", address)
 	if err != nil {
 		return nil, Errors.NewType("listen").Wrap(err, "peers: UDP address %s cannot be used; choose a free one", address)
 	}
 	qu := &QUIC{
-		keys:    keys,
-		handler: handler,
-		socket:  socket,
-		slots:   make(chan struct{}, handlers),
-		links:   map[string]*link{},
+		keys:         keys,
+		handler:      handler,
+		socket:       socket,
+		handlerSlots: make(chan struct{}, maxHandlers),
+		links:        map[string]*link{},
 	}
-	qu.quic = &quic.Transport{Conn: &meter{PacketConn: socket, qu: qu}}
+	qu.quic = &quic.Transport{Conn: &countingConn{PacketConn: socket, qu: qu}}
 	return qu, nil
 }
 
-// Address returns the UDP address.
+// Address returns the local UDP address.
 func (qu *QUIC) Address() string {
 	return qu.socket.LocalAddr().String()
 }
 
-// Traffic returns the counts so far.
+// Traffic returns the counters since Listen.
 func (qu *QUIC) Traffic() Traffic {
-	qu.counts.Lock()
-	defer qu.counts.Unlock()
+	qu.trafficMu.Lock()
+	defer qu.trafficMu.Unlock()
 	return qu.traffic
 }
 
-// meter counts the bytes of a socket.
-type meter struct {
+// countingConn counts the bytes that a socket sends and receives.
+type countingConn struct {
 	net.PacketConn
 	qu *QUIC
 }
 
-// SetReadBuffer lets quic-go size the buffer of the socket.
-func (mt *meter) SetReadBuffer(bytes int) error {
-	return mt.PacketConn.(*net.UDPConn).SetReadBuffer(bytes)
+// SetReadBuffer lets quic-go set the size of the socket's receive buffer.
+func (cc *countingConn) SetReadBuffer(bytes int) error {
+	return cc.PacketConn.(*net.UDPConn).SetReadBuffer(bytes)
 }
 
-// SetWriteBuffer lets quic-go size the buffer of the socket.
-func (mt *meter) SetWriteBuffer(bytes int) error {
-	return mt.PacketConn.(*net.UDPConn).SetWriteBuffer(bytes)
+// SetWriteBuffer lets quic-go set the size of the socket's send buffer.
+func (cc *countingConn) SetWriteBuffer(bytes int) error {
+	return cc.PacketConn.(*net.UDPConn).SetWriteBuffer(bytes)
 }
 
 // ReadFrom implements net.PacketConn.
-func (mt *meter) ReadFrom(buf []byte) (int, net.Addr, error) {
-	n, from, err := mt.PacketConn.ReadFrom(buf)
-	mt.qu.counts.Lock()
-	mt.qu.traffic.Received += int64(n)
-	mt.qu.counts.Unlock()
+func (cc *countingConn) ReadFrom(buf []byte) (int, net.Addr, error) {
+	n, from, err := cc.PacketConn.ReadFrom(buf)
+	cc.qu.trafficMu.Lock()
+	cc.qu.traffic.Received += int64(n)
+	cc.qu.trafficMu.Unlock()
 	return n, from, err
 }
 
 // WriteTo implements net.PacketConn.
-func (mt *meter) WriteTo(buf []byte, to net.Addr) (int, error) {
-	n, err := mt.PacketConn.WriteTo(buf, to)
-	mt.qu.counts.Lock()
-	mt.qu.traffic.Sent += int64(n)
-	mt.qu.counts.Unlock()
+func (cc *countingConn) WriteTo(buf []byte, to net.Addr) (int, error) {
+	n, err := cc.PacketConn.WriteTo(buf, to)
+	cc.qu.trafficMu.Lock()
+	cc.qu.traffic.Sent += int64(n)
+	cc.qu.trafficMu.Unlock()
 	return n, err
 }
 
@@ -137,14 +150,14 @@
 	return &quic.Config{
 		HandshakeIdleTimeout:    handshakeTimeout,
 		MaxIdleTimeout:          idleTimeout,
-		MaxIncomingStreams:      streamsPerConnection,
+		MaxIncomingStreams:      maxStreams,
 		MaxIncomingUniStreams:   -1,
 		EnableDatagrams:         true,
 		DisablePathMTUDiscovery: true,
 	}
 }
 
-// Run listens until the context ends, then closes all connections and the socket.
+// Run accepts connections until the context ends, then closes all connections and the socket.
 func (qu *QUIC) Run(ctx context.Context) error {
 	defer func() { _ = qu.socket.Close() }()
 	listener, err := qu.quic.Listen(qu.keys.serverConfig(), quicConfig())
@@ -152,27 +165,27 @@
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	qu.running.Lock()
+	qu.groupMu.Lock()
 	qu.group = group
 	qu.ctx = ctx
-	qu.running.Unlock()
+	qu.groupMu.Unlock()
 	group.Go(func() error { return qu.accept(ctx, listener) })
 	group.Go(func() error { return qu.recheck(ctx) })
 	<-ctx.Done()
-	qu.running.Lock()
+	qu.groupMu.Lock()
 	qu.group = nil
-	qu.running.Unlock()
-	qu.each(func(lk *link) { lk.close(codeStopped, "stopped") })
+	qu.groupMu.Unlock()
+	qu.eachLink(func(lk *link) { lk.close(codeStopped, "stopped") })
 	_ = listener.Close()
 	_ = qu.quic.Close()
 	_ = group.Wait()
 	return ctx.Err()
 }
 
-// spawn runs work in the transport's group and reports false if the transport does not run.
+// spawn runs work on a goroutine that Run waits for. It reports false if the transport does not run.
 func (qu *QUIC) spawn(work func(ctx context.Context)) bool {
-	qu.running.Lock()
-	defer qu.running.Unlock()
+	qu.groupMu.Lock()
+	defer qu.groupMu.Unlock()
 	if qu.group == nil {
 		return false
 	}
@@ -190,13 +203,13 @@
 		if err != nil {
 			return ctx.Err()
 		}
-		// The peer dials from the socket on which it listens, so messages to it can go back the same way.
-		qu.link(conn.RemoteAddr().String()).adopt(conn)
+		// The peer dials from the socket that it listens on, so messages to its address can use this connection.
+		qu.linkTo(conn.RemoteAddr().String()).adopt(conn)
 		qu.serve(conn)
 	}
 }
 
-func (qu *QUIC) each(visit func(lk *link)) {
+func (qu *QUIC) eachLink(visit func(lk *link)) {
 	qu.mu.Lock()
 	links := make([]*link, 0, len(qu.links))
 	for _, lk := range qu.links {
@@ -208,31 +221,30 @@
 	}
 }
 
-// recheck closes connections whose peer would not be let in with the keys now in force, and forgets links that are
-// not in use.
+// recheck closes connections whose peer's certificate is not valid under replaced keys, and removes unused links.
 func (qu *QUIC) recheck(ctx context.Context) error {
-	ticker := time.NewTicker(recheckPeriod)
+	ticker := time.NewTicker(recheckInterval)
 	defer ticker.Stop()
-	checked := qu.keys.now()
+	checked := qu.keys.latest()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		mt := qu.keys.now()
+		mt := qu.keys.latest()
 		replaced := mt != checked
 		checked = mt
-		qu.each(func(lk *link) {
+		qu.eachLink(func(lk *link) {
 			if replaced {
 				lk.recheck(mt)
 			}
-			qu.forget(lk)
+			qu.removeIfUnused(lk)
 		})
 	}
 }
 
-func (qu *QUIC) forget(lk *link) {
+func (qu *QUIC) removeIfUnused(lk *link) {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
 	if lk.unused() {
@@ -240,7 +252,8 @@
 	}
 }
 
-func (qu *QUIC) link(address string) *link {
+// linkTo returns the link to the address, after creating it if there is none.
+func (qu *QUIC) linkTo(address string) *link {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
 	lk, ok := qu.links[address]
@@ -257,23 +270,23 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, err := qu.link(address).exchange(ctx, raw)
+	answer, err := qu.linkTo(address).exchange(ctx, raw)
 	if err != nil {
 		return nil, Unreachable.Wrap(err, "peers: %s gave no answer", address)
 	}
 	return wire.Decode(answer)
 }
 
-// Tell implements Transport. It never blocks.
+// Tell implements Transport. It never blocks: a message that cannot be queued is dropped and counted.
 func (qu *QUIC) Tell(address string, msg wire.Message) {
 	raw, err := wire.Encode(msg)
-	if err != nil || !qu.link(address).push(raw) {
-		qu.dropped()
+	if err != nil || !qu.linkTo(address).enqueue(raw) {
+		qu.countDropped()
 	}
 }
 
-func (qu *QUIC) dropped() {
-	qu.counts.Lock()
-	defer qu.counts.Unlock()
+func (qu *QUIC) countDropped() {
+	qu.trafficMu.Lock()
+	defer qu.trafficMu.Unlock()
 	qu.traffic.Dropped++
 }
--- a/internal/peers/quic_test.go
+++ b/internal/peers/quic_test.go
@@ -15,19 +15,19 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// heard is one message as a handler got it.
-type heard struct {
+// received is one message with the name of its sender, as passed to a handler.
+type received struct {
 	from string
 	msg  wire.Message
 }
 
-// start runs a transport whose handler answers a ConfigWant with its own number and passes all messages on.
-func start(t *testing.T, keys *peers.Keys) (*peers.QUIC, chan heard) {
+// start runs a transport whose handler answers a ConfigWant with its own version and puts all messages on the channel.
+func start(t *testing.T, keys *peers.Keys) (*peers.QUIC, chan received) {
 	t.Helper()
-	got := make(chan heard, 64)
+	got := make(chan received, 64)
 	qu, err := peers.Listen("127.0.0.1:0", keys, func(_ context.Context, from string, msg wire.Message) wire.Message {
 		select {
-		case got <- heard{from, msg}:
+		case got <- received{from, msg}:
 		default:
 		}
 		if want, ok := msg.(wire.ConfigWant); ok {
@@ -62,7 +62,7 @@
 	return authority
 }
 
-// ask tries until the peer answers or the time is over; a peer under load may miss a handshake.
+// ask sends a message and waits up to 10 seconds for the answer; under load, a peer may be late for a handshake.
 func ask(t *testing.T, qu *peers.QUIC, address string, msg wire.Message) (wire.Message, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -70,46 +70,45 @@
 	return qu.Ask(ctx, address, msg)
 }
 
-func TestMessagesBothWays(t *testing.T) {
+func TestBothPeersSendOverOneConnection(t *testing.T) {
 	t.Parallel()
 	authority := newAuthority(t)
-	one, gotOne := start(t, issue(t, authority, "entry-1"))
-	two, gotTwo := start(t, issue(t, authority, "entry-2"))
-	answer, err := ask(t, one, two.Address(), wire.ConfigWant{After: 7})
+	quA, gotA := start(t, issue(t, authority, "entry-1"))
+	quB, gotB := start(t, issue(t, authority, "entry-2"))
+	answer, err := ask(t, quA, quB.Address(), wire.ConfigWant{After: 7})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, answer, wire.ConfigPatches{First: 7})
-	assert.DeepEqual(t, (<-gotTwo).from, "entry-1")
-	// The way back uses the connection that the peer opened.
-	two.Tell(one.Address(), wire.Quarantine{Deaths: 2})
-	assert.DeepEqual(t, <-gotOne, heard{"entry-2", wire.Quarantine{Deaths: 2}}, cmpHeard)
-	assert.Equal(t, two.Traffic().Dialled, int64(0))
+	assert.DeepEqual(t, (<-gotB).from, "entry-1")
+	// The message in the other direction uses the connection that the peer opened.
+	quB.Tell(quA.Address(), wire.Quarantine{Deaths: 2})
+	assert.DeepEqual(t, <-gotA, received{"entry-2", wire.Quarantine{Deaths: 2}}, cmpReceived)
+	assert.Equal(t, quB.Traffic().Dialled, int64(0))
 	long := wire.ConfigPatches{Snapshot: make([]byte, 1<<20)}
-	two.Tell(one.Address(), long)
-	assert.DeepEqual(t, (<-gotOne).msg, long)
+	quB.Tell(quA.Address(), long)
+	assert.DeepEqual(t, (<-gotA).msg, long)
 }
 
-func TestPeerWithoutRightKeyGetsNothing(t *testing.T) {
+func TestPeerOfAnotherAuthorityIsRefused(t *testing.T) {
 	t.Parallel()
-	// A process whose key another authority signed asks an instance for its configuration.
-	// The handshake fails at whichever end checks first, the handler never sees the message, and the asker hears that
-	// the peer cannot be reached.
+	// A process whose certificate another authority signed asks an instance for its configuration. The handshake has to
+	// fail at whichever end checks first: the handler never gets the message, and both ends report the peer as unreachable.
 	good, got := start(t, issue(t, newAuthority(t), "entry-1"))
-	stranger, _ := start(t, issue(t, newAuthority(t), "entry-1"))
+	foreign, _ := start(t, issue(t, newAuthority(t), "entry-1"))
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	_, err := stranger.Ask(ctx, good.Address(), wire.ConfigWant{})
+	_, err := foreign.Ask(ctx, good.Address(), wire.ConfigWant{})
 	assert.Assert(t, errorx.IsOfType(err, peers.Unreachable), "%v", err)
-	stranger.Tell(good.Address(), wire.Quarantine{})
-	_, err = good.Ask(ctx, stranger.Address(), wire.ConfigWant{})
+	foreign.Tell(good.Address(), wire.Quarantine{})
+	_, err = good.Ask(ctx, foreign.Address(), wire.ConfigWant{})
 	assert.Assert(t, errorx.IsOfType(err, peers.Unreachable), "%v", err)
 	assert.Equal(t, len(got), 0)
 }
 
-func TestKeysReplacedWithoutRestart(t *testing.T) {
+func TestKeysAreReloadedWithoutRestart(t *testing.T) {
 	t.Parallel()
-	// Operators replace the authority: first the files of one instance, then those of the other.
-	// Between the two steps the instances cannot speak, also not over the connection that was open before; after the
-	// second they can, and neither was restarted.
+	// Operators replace the authority: first the files of one instance, then those of the other. Between the two steps the
+	// instances must not communicate, not even over the connection that was open before. After the second step they can,
+	// without a restart of either.
 	dir, other := t.TempDir(), t.TempDir()
 	old, next := newAuthority(t), newAuthority(t)
 	load := func(authority *certs.Authority, dir, name string) *peers.Keys {
@@ -119,25 +118,26 @@
 		assert.NilError(t, err)
 		return keys
 	}
-	one, _ := start(t, load(old, dir, "entry-1"))
-	two, _ := start(t, load(old, other, "entry-2"))
-	_, err := ask(t, one, two.Address(), wire.ConfigWant{})
+	quA, _ := start(t, load(old, dir, "entry-1"))
+	quB, _ := start(t, load(old, other, "entry-2"))
+	_, err := ask(t, quA, quB.Address(), wire.ConfigWant{})
 	assert.NilError(t, err)
 	replace(t, next, dir, "entry-1")
 	eventually(t, func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		defer cancel()
-		_, err := two.Ask(ctx, one.Address(), wire.ConfigWant{})
+		_, err := quB.Ask(ctx, quA.Address(), wire.ConfigWant{})
 		return err != nil
 	})
 	replace(t, next, other, "entry-2")
 	eventually(t, func() bool {
-		_, err := ask(t, two, one.Address(), wire.ConfigWant{})
+		_, err := ask(t, quB, quA.Address(), wire.ConfigWant{})
 		return err == nil
 	})
 }
 
-// replace writes new keys over the old ones with another time of change, however fast the test is.
+// replace writes new keys over the old ones. It sets a later modification time, so that the change is detected even if the
+// test writes both in quick succession.
 func replace(t *testing.T, authority *certs.Authority, dir, name string) {
 	t.Helper()
 	fs, err := authority.Write(dir, name)
@@ -148,34 +148,34 @@
 	}
 }
 
-func eventually(t *testing.T, holds func() bool) {
+func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	for !holds() {
+	for !condition() {
 		if t.Context().Err() != nil {
-			t.Fatal("did not come about")
+			t.Fatal("the condition did not become true")
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-func TestPeerReplacedAtSameAddress(t *testing.T) {
+func TestNewInstanceAtSameAddressIsReached(t *testing.T) {
 	t.Parallel()
-	// An instance is killed and another starts at its address. The connection to the first one stays open and silent
-	// for good, since nothing closes it. It is given up after a message went unacknowledged, and the next message
-	// reaches the new instance over a connection of its own.
+	// An instance is killed and another one starts at its address. Nothing closes the connection to the first, which would
+	// stay open and silent for good. It has to be closed once a message was not acknowledged, and the next message has to
+	// reach the new instance over a new connection.
 	authority := newAuthority(t)
-	one, _ := start(t, issue(t, authority, "entry-1"))
-	first := listen(t, issue(t, authority, "entry-2"), "127.0.0.1:0")
-	_, err := ask(t, one, first.address, wire.ConfigWant{})
+	qu, _ := start(t, issue(t, authority, "entry-1"))
+	first := listenBehindProxy(t, issue(t, authority, "entry-2"), "127.0.0.1:0")
+	_, err := ask(t, qu, first.address, wire.ConfigWant{})
 	assert.NilError(t, err)
 	first.kill()
-	second := listen(t, issue(t, authority, "entry-2"), first.address)
+	second := listenBehindProxy(t, issue(t, authority, "entry-2"), first.address)
 	defer second.kill()
 	eventually(t, func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		_, err := one.Ask(ctx, first.address, wire.ConfigWant{})
+		_, err := qu.Ask(ctx, first.address, wire.ConfigWant{})
 		return err == nil
 	})
-	assert.Equal(t, one.Traffic().Dialled, int64(2))
+	assert.Equal(t, qu.Traffic().Dialled, int64(2))
 }
--- a/internal/peers/serve.go
+++ b/internal/peers/serve.go
@@ -9,28 +9,29 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// serve hears a connection, whoever opened it, until it closes.
+// serve starts receiving messages on a connection, whichever end opened it, until it closes.
 func (qu *QUIC) serve(conn *quic.Conn) {
 	from := peerName(conn.ConnectionState().TLS)
-	streams := qu.spawn(func(ctx context.Context) { qu.streams(ctx, conn, from) })
-	if !streams || !qu.spawn(func(ctx context.Context) { qu.datagrams(ctx, conn, from) }) {
+	streams := qu.spawn(func(ctx context.Context) { qu.acceptStreams(ctx, conn, from) })
+	if !streams || !qu.spawn(func(ctx context.Context) { qu.receiveDatagrams(ctx, conn, from) }) {
 		_ = conn.CloseWithError(codeStopped, "stopped")
 	}
 }
 
-func (qu *QUIC) streams(ctx context.Context, conn *quic.Conn, from string) {
+// acceptStreams answers the message on each stream that the peer opens, at most maxHandlers at once over all peers.
+func (qu *QUIC) acceptStreams(ctx context.Context, conn *quic.Conn, from string) {
 	for {
 		stream, err := conn.AcceptStream(ctx)
 		if err != nil {
 			return
 		}
 		select {
-		case qu.slots <- struct{}{}:
+		case qu.handlerSlots <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
 		spawned := qu.spawn(func(ctx context.Context) {
-			defer func() { <-qu.slots }()
+			defer func() { <-qu.handlerSlots }()
 			qu.answer(ctx, stream, from)
 		})
 		if !spawned {
@@ -41,7 +42,7 @@
 
 func (qu *QUIC) answer(ctx context.Context, stream *quic.Stream, from string) {
 	defer func() { _ = stream.Close() }()
-	_ = stream.SetDeadline(time.Now().Add(streamTime))
+	_ = stream.SetDeadline(time.Now().Add(streamTimeout))
 	raw, err := readMessage(stream)
 	if err != nil {
 		stream.CancelRead(0)
@@ -61,11 +62,12 @@
 		stream.CancelWrite(0)
 		return
 	}
-	_ = stream.SetWriteDeadline(time.Now().Add(streamTime))
+	_ = stream.SetWriteDeadline(time.Now().Add(streamTimeout))
 	_, _ = stream.Write(encoded)
 }
 
-func (qu *QUIC) datagrams(ctx context.Context, conn *quic.Conn, from string) {
+// receiveDatagrams passes the messages of datagrams to the handler and ignores those that cannot be decoded.
+func (qu *QUIC) receiveDatagrams(ctx context.Context, conn *quic.Conn, from string) {
 	for {
 		raw, err := conn.ReceiveDatagram(ctx)
 		if err != nil {
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -2,7 +2,8 @@
 
 import "dandelionsail.example/dandelionsail/internal/event"
 
-// Event returns what a message is to the reducers, or false for one that the shell answers by itself.
+// Event converts a message into an event for the reducers. It returns false for messages that are handled without the
+// reducers.
 func Event(msg Message) (event.Event, bool) {
 	switch msg := msg.(type) {
 	case Demand:
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -10,7 +10,7 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// messages has one of each kind.
+// messages returns one message of each type except ConfigNews, ClaimAsk, ClaimAnswer and ClaimSettle.
 func messages() []wire.Message {
 	words := []event.Word{{Name: "entry-1", State: event.WordSuspect, Incarnation: 7}}
 	return []wire.Message{
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestEveryMessageSurvivesTheWire(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	for _, msg := range messages() {
 		raw, err := wire.Encode(msg)
 		assert.NilError(t, err)
--- a/internal/wire/member.go
+++ b/internal/wire/member.go
@@ -2,13 +2,14 @@
 
 import "dandelionsail.example/dandelionsail/internal/event"
 
-// Messages of the membership. They are the events of the same names, so that nothing is copied between the two.
+// Messages of the membership protocol. Each has the fields of an event type, so that one converts to the other without
+// copying fields.
 type (
-	// Probe wants a ProbeAck.
+	// Probe asks for a ProbeAck.
 	Probe event.Probed
 	// ProbeAck answers a Probe.
 	ProbeAck event.ProbeAcked
-	// Gossip is news that could not wait for the next probe.
+	// Gossip carries membership updates that cannot wait for the next probe.
 	Gossip event.Gossiped
 )
 
--- a/internal/wire/permit.go
+++ b/internal/wire/permit.go
@@ -2,15 +2,15 @@
 
 import "dandelionsail.example/dandelionsail/internal/event"
 
-// Messages of the permits. They are the events of like names, so that nothing is copied between the two.
+// Messages about permits. Each has the fields of an event type, so that one converts to the other without copying fields.
 type (
-	// PermitAsk asks a pool's coordinator for a reservation, or tells a new one of a reservation held.
+	// PermitAsk asks a pool's coordinator for a reservation, or reports an existing reservation to a new coordinator.
 	PermitAsk event.PermitAsked
-	// PermitGrant answers a PermitAsk, now or later.
+	// PermitGrant answers a PermitAsk, at once or later.
 	PermitGrant event.PermitGranted
-	// PermitReturn gives a reservation or a place in the queue back.
+	// PermitReturn releases a reservation or a place in the queue.
 	PermitReturn event.PermitReturned
-	// PermitRenew keeps reservations and places in the queue.
+	// PermitRenew renews reservations and places in the queue.
 	PermitRenew event.PermitRenewed
 	// PermitState answers a PermitRenew.
 	PermitState event.PermitsKnown
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire defines the messages between entry instances and their CBOR form.
+// Package wire defines the messages between entry instances and their CBOR encoding.
 package wire
 
 import (
@@ -10,46 +10,54 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// Message is what one entry instance says to another.
+// Message is a message from one entry instance to another.
 type Message interface{ isMessage() }
 
-// Ack answers a message that wants nothing but to be heard.
+// Ack acknowledges a message that needs no other answer.
 type Ack struct{}
 
-// QuarantineWant asks for all that is under suspicion or quarantine, and to be told what follows.
+// QuarantineWant asks for all digests under suspicion or quarantine, and to be sent those that are added later.
 type QuarantineWant struct {
-	// From is the address of the peer that asks.
+	// From is the peer address of the instance that asks.
 	From string
 }
 
 // Quarantines answers a QuarantineWant.
 type Quarantines struct{ Entries []Quarantine }
 
-// Quarantine passes on that a content took upstreams down.
+// Quarantine reports that requests with the same content took upstreams down.
 type Quarantine struct {
+	// Digest is the digest of the content.
 	Digest [32]byte
+	// Deaths counts the upstreams that died while they processed such a request.
 	Deaths int
-	Lasts  time.Duration
+	// Lasts is the remaining time of the quarantine.
+	Lasts time.Duration
 }
 
-// ConfigWant asks for the patches after a version.
+// ConfigWant asks for the configuration patches after a version.
 type ConfigWant struct{ After int64 }
 
-// ConfigPatches answers with patches in order, or with a whole configuration if the patches are trimmed.
+// ConfigPatches answers a ConfigWant with the patches in order of their versions, or with a snapshot of the whole
+// configuration if the peer no longer holds all of the patches.
 type ConfigPatches struct {
-	First    int64
-	Patches  [][]byte
+	// First is the version of the first patch.
+	First int64
+	// Patches are the encoded patches of consecutive versions.
+	Patches [][]byte
+	// Snapshot is a whole configuration in its JSON form, empty if Patches suffices. Its version is First-1.
 	Snapshot []byte
 }
 
-// Demand tells the instance that shares out organisations' limits what they ask for at another one.
+// Demand reports what organisations demand at one instance. It is sent to the instance that divides their limits among the
+// fleet.
 type Demand struct {
 	_       struct{} `cbor:",toarray"`
 	From    string
 	Demands []event.Demand
 }
 
-// Shares answers a Demand.
+// Shares answers a Demand with the part of each organisation's limits that the instance may use.
 type Shares struct {
 	_      struct{} `cbor:",toarray"`
 	Shares []event.Share
@@ -58,26 +66,29 @@
 func (Demand) isMessage() {}
 func (Shares) isMessage() {}
 
-// ConfigNews tells that a version is in force at the teller; who has a lower one asks there for the patches.
+// ConfigNews announces a configuration version. An instance that has a lower version asks the sender for the patches.
 type ConfigNews struct {
 	Version int64
-	// Teller is the peer address of who has the version.
+	// Teller is the peer address of the instance that sends the announcement and has the version.
 	Teller string
 }
 
-// ClaimAsk asks a shard's home to record the claim of an idempotency key under the asker's nonce.
+// ClaimAsk asks the instance that writes a shard to record a claim of an idempotency key.
 type ClaimAsk struct {
-	Shard  int
-	Hash   [16]byte
+	Shard int
+	// Hash identifies the key within the shard.
+	Hash [16]byte
+	// Digest is the start of the request's digest. A request with another digest conflicts with the claim.
 	Digest [16]byte
-	Nonce  string
+	// Nonce identifies the claim, so that the claimant recognises its own claim in the store if the answer is lost.
+	Nonce string
 	// Lasts is the time that the request has left.
 	Lasts time.Duration
-	// Wait is how long the asker waits for the answer.
+	// Wait is how long the sender waits for the answer.
 	Wait time.Duration
 }
 
-// ClaimOutcome is the recorded end of a claimed request, see event.Outcome.
+// ClaimOutcome is the recorded outcome of a claimed request; its fields are those of event.Outcome.
 type ClaimOutcome struct {
 	Known       bool
 	Running     bool
@@ -87,21 +98,23 @@
 	Truncated   bool
 }
 
-// ClaimAnswer answers a ClaimAsk or a ClaimSettle with an event.ClaimResult.
+// ClaimAnswer answers a ClaimAsk or a ClaimSettle.
 type ClaimAnswer struct {
+	// Result is an event.ClaimResult.
 	Result  int
 	Outcome ClaimOutcome
 }
 
-// ClaimSettle asks a shard's home to record the end of a claimed request.
+// ClaimSettle asks the instance that writes a shard to record the outcome of a claimed request.
 type ClaimSettle struct {
 	Shard   int
 	Hash    [16]byte
 	Nonce   string
 	Outcome ClaimOutcome
-	// Release takes the claim away: the request was certainly not run.
+	// Release removes the claim, because the request was certainly not run.
 	Release bool
-	Wait    time.Duration
+	// Wait is how long the sender waits for the answer.
+	Wait time.Duration
 }
 
 func (Ack) isMessage()            {}
@@ -115,18 +128,18 @@
 func (ClaimAnswer) isMessage()    {}
 func (ClaimSettle) isMessage()    {}
 
-// MaxMessage bounds the encoded length of a message in bytes.
+// MaxMessage is the maximum length of an encoded message, in bytes.
 const MaxMessage = 4 << 20
 
 var (
-	// Errors groups what this package returns.
+	// Errors is the namespace of this package's errors.
 	Errors = errorx.NewNamespace("wire")
-	// Malformed tells that bytes are no message.
+	// Malformed is returned if a message cannot be encoded or decoded.
 	Malformed = Errors.NewType("malformed")
 )
 
-// kinds gives every message type its number on the wire. A number is never used again for another type.
-var kinds = map[uint64]func(raw []byte) (Message, error){
+// decoders maps the number of each message type on the wire to its decoder. A number is never reused for another type.
+var decoders = map[uint64]func(raw []byte) (Message, error){
 	1:  decode[Ack],
 	2:  decode[PermitAsk],
 	3:  decode[PermitGrant],
@@ -152,6 +165,7 @@
 	43: decode[ClaimSettle],
 }
 
+// kindOf returns the number of the message's type on the wire, the key of its decoder.
 func kindOf(msg Message) uint64 {
 	switch msg.(type) {
 	case Ack:
@@ -200,6 +214,7 @@
 	return 0
 }
 
+// envelope is the encoded form of every message.
 type envelope struct {
 	_    struct{} `cbor:",toarray"`
 	Kind uint64
@@ -214,7 +229,7 @@
 	return msg, nil
 }
 
-// Encode returns the bytes of a message.
+// Encode returns the encoded form of a message.
 func Encode(msg Message) ([]byte, error) {
 	body, err := cbor.Marshal(msg)
 	if err != nil {
@@ -223,13 +238,13 @@
 	return cbor.Marshal(envelope{Kind: kindOf(msg), Body: body})
 }
 
-// Decode returns the message that the bytes hold.
+// Decode returns the message of an encoded form. If the bytes are no valid message, the error is Malformed.
 func Decode(raw []byte) (Message, error) {
 	var env envelope
 	if err := cbor.Unmarshal(raw, &env); err != nil {
 		return nil, Malformed.Wrap(err, "wire: the envelope does not decode")
 	}
-	decodeBody, ok := kinds[env.Kind]
+	decodeBody, ok := decoders[env.Kind]
 	if !ok {
 		return nil, Malformed.New("wire: message kind %d is unknown; run the same release on all instances", env.Kind)
 	}
--- a/pkg/burn/alert.go
+++ b/pkg/burn/alert.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// Alert is one pair of windows with the burn rate that both must pass: the long one shows that it matters, the short
-// one that it goes on.
+// Alert is a pair of windows with the burn rate that both must reach for the alert to fire: the long window shows that the
+// failures are significant, the short one that they are still going on.
 type Alert struct {
-	Name  string
-	Long  time.Duration
+	Name string
+	// Long is the length of the long window.
+	Long time.Duration
+	// Short is the length of the short window.
 	Short time.Duration
 	// Rate is the burn rate at which the alert fires.
 	Rate float64
 }
 
-// The alerts of the Site Reliability Workbook for a period of 30 days: the fast ones want a person now, the slow one
-// in the morning.
+// The alerts of the Site Reliability Workbook for a period of 30 days. The fast and steady ones need a person at once; the
+// slow one can wait until the morning.
 var (
-	// FastBurn uses 2% of the budget in an hour.
+	// FastBurn fires when 2% of the budget is used in an hour.
 	FastBurn = Alert{Name: "Fast", Long: time.Hour, Short: 5 * time.Minute, Rate: 14.4}
-	// SteadyBurn uses 5% of the budget in six hours.
+	// SteadyBurn fires when 5% of the budget is used in six hours.
 	SteadyBurn = Alert{Name: "Steady", Long: 6 * time.Hour, Short: 30 * time.Minute, Rate: 6}
-	// SlowBurn uses 10% of the budget in three days.
+	// SlowBurn fires when 10% of the budget is used in three days.
 	SlowBurn = Alert{Name: "Slow", Long: 72 * time.Hour, Short: 6 * time.Hour, Rate: 1}
 )
 
-// Alerts returns all alerts, the most urgent first.
+// Alerts returns all alerts, in descending order of urgency.
 func Alerts() []Alert {
 	return []Alert{FastBurn, SteadyBurn, SlowBurn}
 }
 
-// Windows returns the windows that the alerts look at, the shortest first, without repeats.
+// Windows returns the lengths of the windows of all alerts, in ascending order and without duplicates.
 func Windows() []time.Duration {
 	return []time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, 6 * time.Hour, 72 * time.Hour}
 }
 
-// Counts holds the count of each of Windows.
+// Counts maps the length of each window to its count.
 type Counts map[time.Duration]Count
 
 // Counts returns the counts of all windows.
@@ -45,12 +47,13 @@
 	return counts
 }
 
-// Firing returns the most urgent alert that fires for the target, or false. A window with fewer than minEvents bad
-// events fires nothing: one failure among three requests of a quiet night is no incident.
+// Firing returns the most urgent alert that fires for the target, or false if none does. An alert does not fire if its long
+// window has fewer than minBadEvents bad events; otherwise one failure among three requests at a time of low traffic would
+// be reported as an incident.
 func Firing(counts Counts, target float64) (Alert, bool) {
 	for _, alert := range Alerts() {
 		long, short := counts[alert.Long], counts[alert.Short]
-		if long.Bad < minEvents {
+		if long.Bad < minBadEvents {
 			continue
 		}
 		if long.Rate(target) >= alert.Rate && short.Rate(target) >= alert.Rate {
@@ -60,4 +63,5 @@
 	return Alert{}, false
 }
 
-const minEvents = 5
+// minBadEvents is the minimum number of bad events in the long window of an alert that fires.
+const minBadEvents = 5
--- a/pkg/burn/burn.go
+++ b/pkg/burn/burn.go
@@ -1,27 +1,29 @@
-// Package burn tells how fast an error budget is used up, over several windows at once. A burn rate of 1 uses the
-// budget up exactly by the end of the objective's period; the alerts follow the multi-window, multi-burn-rate method
-// of Google's Site Reliability Workbook, chapter 5.
+// Package burn measures how fast an error budget is used up, over several windows at once. A burn rate of 1 uses up the
+// budget exactly by the end of the objective's period. The alerts follow the multi-window, multi-burn-rate method of
+// Google's Site Reliability Workbook, chapter 5.
 package burn
 
 import "time"
 
-// Resolution of the counts that are kept.
+// Resolution and retention of the counts.
 const (
-	// FineSpan is the length of a bucket of the last hours.
+	// FineSpan is the length of a fine bucket.
 	FineSpan = 10 * time.Second
-	// CoarseSpan is the length of a bucket of the last days.
+	// CoarseSpan is the length of a coarse bucket.
 	CoarseSpan = 5 * time.Minute
-	fineKept   = 360
-	coarseKept = 864
+	// fineBuckets is the number of fine buckets kept, which is one hour.
+	fineBuckets = 360
+	// coarseBuckets is the number of coarse buckets kept, which is three days.
+	coarseBuckets = 864
 )
 
-// Count is how many events kept an objective and how many did not.
+// Count holds how many events met an objective and how many did not.
 type Count struct {
 	Good int64
 	Bad  int64
 }
 
-// Add returns the sum of both.
+// Add returns the sum of the two counts.
 func (cn Count) Add(other Count) Count {
 	return Count{Good: cn.Good + other.Good, Bad: cn.Bad + other.Bad}
 }
@@ -31,7 +33,7 @@
 	return cn.Good + cn.Bad
 }
 
-// ErrorRate returns the share of bad events, 0 if there were none at all.
+// ErrorRate returns the share of bad events, 0 if there are no events.
 func (cn Count) ErrorRate() float64 {
 	if cn.Total() == 0 {
 		return 0
@@ -39,19 +41,19 @@
 	return float64(cn.Bad) / float64(cn.Total())
 }
 
-// Rate returns how many times faster than allowed the budget of a target is used up.
+// Rate returns the burn rate for a target: how many times faster than allowed the error budget is used up.
 func (cn Count) Rate(target float64) float64 {
 	return cn.ErrorRate() / (1 - target)
 }
 
-// Bucket is the count of one span of time.
+// Bucket is the count of one time span.
 type Bucket struct {
-	// Start is the span's number since the Unix epoch, in units of its length.
+	// Start is the start of the span since the Unix epoch, in units of its length.
 	Start int64
 	Count Count
 }
 
-// ring keeps the newest buckets of one resolution.
+// ring holds the most recent buckets of one resolution.
 type ring struct {
 	span    time.Duration
 	buckets []Bucket
@@ -70,7 +72,7 @@
 	bucket.Count = bucket.Count.Add(count)
 }
 
-// within sums the spans that end after now less the window.
+// within returns the sum of the buckets of the window that ends with the bucket of now.
 func (rg *ring) within(now time.Time, window time.Duration) Count {
 	last := now.UnixNano() / int64(rg.span)
 	first := last - int64(window/rg.span) + 1
@@ -83,15 +85,15 @@
 	return sum
 }
 
-// Tracker counts the events of one objective. It is not safe for use by several goroutines at once.
+// Tracker counts the events of one objective. It is not safe for concurrent use.
 type Tracker struct {
 	fine   ring
 	coarse ring
 }
 
-// New returns a tracker without events. It takes about 30 KB.
+// New returns an empty tracker, which takes about 30 KB of memory.
 func New() *Tracker {
-	return &Tracker{fine: newRing(FineSpan, fineKept), coarse: newRing(CoarseSpan, coarseKept)}
+	return &Tracker{fine: newRing(FineSpan, fineBuckets), coarse: newRing(CoarseSpan, coarseBuckets)}
 }
 
 // Record counts one event.
@@ -104,20 +106,21 @@
 	tr.coarse.add(at, count)
 }
 
-// Within returns the count of the last window, which is rounded to whole buckets.
+// Within returns the count of the window that ends now, rounded to whole buckets. Windows of up to an hour use fine buckets,
+// longer ones coarse buckets.
 func (tr *Tracker) Within(now time.Time, window time.Duration) Count {
-	if window <= FineSpan*fineKept {
+	if window <= FineSpan*fineBuckets {
 		return tr.fine.within(now, window)
 	}
 	return tr.coarse.within(now, window)
 }
 
-// Series returns the counts of the last hour in order, a bucket a span, empty ones included.
+// Series returns the fine buckets of the last hour in order, including empty ones.
 func (tr *Tracker) Series(now time.Time) []Bucket {
 	last := now.UnixNano() / int64(FineSpan)
-	series := make([]Bucket, 0, fineKept)
-	for number := last - fineKept + 1; number <= last; number++ {
-		bucket := tr.fine.buckets[number%fineKept]
+	series := make([]Bucket, 0, fineBuckets)
+	for number := last - fineBuckets + 1; number <= last; number++ {
+		bucket := tr.fine.buckets[number%fineBuckets]
 		if bucket.Start != number {
 			bucket = Bucket{Start: number}
 		}
--- a/pkg/burn/burn_test.go
+++ b/pkg/burn/burn_test.go
@@ -11,8 +11,9 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// run records a steady load: in each second ten events, of which the share bad fails.
-func run(tr *burn.Tracker, from time.Time, period time.Duration, badOfTen int) time.Time {
+// recordSteadyLoad records ten events per second for the period, of which badOfTen are bad. It returns the time of the last
+// event.
+func recordSteadyLoad(tr *burn.Tracker, from time.Time, period time.Duration, badOfTen int) time.Time {
 	for at := from; at.Before(from.Add(period)); at = at.Add(time.Second) {
 		for i := range 10 {
 			tr.Record(at, i >= badOfTen)
@@ -27,24 +28,24 @@
 		badOfTen         int
 		want             string
 	}{
-		"all good":                  {good: time.Hour, want: ""},
-		"total failure for minutes": {good: time.Hour, bad: 10 * time.Minute, badOfTen: 10, want: "Fast"},
-		"over since half an hour":   {good: time.Hour, bad: 10 * time.Minute, badOfTen: 10, after: 31 * time.Minute, want: "Slow"},
-		"a tenth for hours":         {good: time.Hour, bad: 5 * time.Hour, badOfTen: 1, want: "Fast"},
+		"all good":                 {good: time.Hour, want: ""},
+		"all bad for ten minutes":  {good: time.Hour, bad: 10 * time.Minute, badOfTen: 10, want: "Fast"},
+		"ended half an hour ago":   {good: time.Hour, bad: 10 * time.Minute, badOfTen: 10, after: 31 * time.Minute, want: "Slow"},
+		"one in ten bad for hours": {good: time.Hour, bad: 5 * time.Hour, badOfTen: 1, want: "Fast"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			tr := burn.New()
-			now := run(tr, start, tc.good, 0)
-			now = run(tr, now.Add(time.Second), tc.bad, tc.badOfTen)
-			now = run(tr, now.Add(time.Second), tc.after, 0)
+			now := recordSteadyLoad(tr, start, tc.good, 0)
+			now = recordSteadyLoad(tr, now.Add(time.Second), tc.bad, tc.badOfTen)
+			now = recordSteadyLoad(tr, now.Add(time.Second), tc.after, 0)
 			alert, _ := burn.Firing(tr.Counts(now), 0.999)
 			assert.Equal(t, alert.Name, tc.want)
 		})
 	}
 }
 
-func TestFewEventsFireNothing(t *testing.T) {
+func TestFewBadEventsFireNoAlert(t *testing.T) {
 	tr := burn.New()
 	for range 3 {
 		tr.Record(start, false)
@@ -53,16 +54,16 @@
 	assert.Assert(t, !firing)
 }
 
-func TestWithinForgets(t *testing.T) {
+func TestWithinExcludesOlderEvents(t *testing.T) {
 	tr := burn.New()
-	now := run(tr, start, 4*time.Hour, 5)
+	now := recordSteadyLoad(tr, start, 4*time.Hour, 5)
 	assert.Equal(t, tr.Within(now, 5*time.Minute).Total(), int64(3000))
 	assert.Equal(t, tr.Within(now, time.Hour).Bad, int64(18000))
 	assert.Equal(t, tr.Within(now.Add(2*time.Hour), time.Hour).Total(), int64(0))
 	assert.Equal(t, tr.Within(now.Add(2*time.Hour), 72*time.Hour).Total(), int64(4*3600*10))
 }
 
-func TestSeriesHasNoHoles(t *testing.T) {
+func TestSeriesIncludesEmptyBuckets(t *testing.T) {
 	tr := burn.New()
 	tr.Record(start, true)
 	series := tr.Series(start.Add(30 * time.Second))
--- a/pkg/decl/check.go
+++ b/pkg/decl/check.go
@@ -10,13 +10,13 @@
 )
 
 var (
-	// Errors groups what Parse and Check return.
+	// Errors is the namespace of this package's errors.
 	Errors = errorx.NewNamespace("decl")
-	// Invalid tells that a declaration cannot be used; its message gives the path and the remedy.
+	// Invalid is returned for declarations that cannot be used. Its message names the path and the remedy of each problem.
 	Invalid = Errors.NewType("invalid")
 )
 
-// Parse reads the JSON form, in which unknown fields are errors, and checks it.
+// Parse decodes a configuration from its JSON form, in which unknown fields are errors, and checks it.
 func Parse(document []byte) (*Config, error) {
 	decoder := json.NewDecoder(bytes.NewReader(document))
 	decoder.DisallowUnknownFields()
@@ -43,71 +43,72 @@
 	return Invalid.New("decl: %s", strings.Join(lines, "; "))
 }
 
-// smallestPrompt is the shortest prompt, in tokens, that an organisation must be able to send.
-const smallestPrompt = 1000
+// minPromptTokens is the length in tokens of the shortest prompt that an organisation must be able to send.
+const minPromptTokens = 1000
 
+// checker collects the problems of a configuration.
 type checker struct {
 	cfg      *Config
 	problems []Problem
 }
 
-func (ck *checker) problem(path, format string, args ...any) {
-	ck.problems = append(ck.problems, Problem{Path: path, Remedy: fmt.Sprintf(format, args...)})
+func (ck *checker) addProblem(path, format string, args ...any) {
+	ck.problems = append(ck.problems, Problem{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-func (ck *checker) organisations() {
+func (ck *checker) checkOrganisations() {
 	owner := map[string]string{}
 	for _, name := range sortedKeys(ck.cfg.Organisations) {
 		org := ck.cfg.Organisations[name]
 		path := "/Organisations/" + name
 		if len(org.TokenDigests) == 0 {
-			ck.problem(path+"/TokenDigests", "give at least one digest")
+			ck.addProblem(path+"/TokenDigests", "give at least one digest")
 		}
 		for _, digest := range org.TokenDigests {
-			ck.digest(path, digest)
+			ck.checkDigest(path, digest)
 			if other, ok := owner[digest]; ok && other != name {
-				ck.problem(path+"/TokenDigests", "%s has the same token; give each organisation its own", other)
+				ck.addProblem(path+"/TokenDigests", "%s has the same token; give each organisation its own", other)
 			}
 			owner[digest] = name
 		}
 		if org.Weight < 0 {
-			ck.problem(path+"/Weight", "%g is below 0; give a share above it", org.Weight)
+			ck.addProblem(path+"/Weight", "%g is below 0; give a share above it", org.Weight)
 		}
-		ck.limits(path+"/Limits", org.Limits)
+		ck.checkLimits(path+"/Limits", org.Limits)
 		for _, service := range org.Services {
 			if _, ok := ck.cfg.Services[service]; !ok {
-				ck.problem(path+"/Services", "no service %q is declared; declare it or remove the name", service)
+				ck.addProblem(path+"/Services", "no service %q is declared; declare it or remove the name", service)
 			}
 		}
 	}
 }
 
-func (ck *checker) digest(path, digest string) {
+func (ck *checker) checkDigest(path, digest string) {
 	if len(digest) != 64 || strings.Trim(digest, "0123456789abcdef") != "" {
-		ck.problem(path+"/TokenDigests", "%q is no SHA-256 digest; use 64 lower-case hexadecimal digits", digest)
+		ck.addProblem(path+"/TokenDigests", "%q is no SHA-256 digest; use 64 lower-case hexadecimal digits", digest)
 	}
 }
 
-// limits finds limits that no request could ever pass.
-func (ck *checker) limits(path string, lim Limits) {
+// checkLimits reports limits that are negative or that no request could satisfy.
+func (ck *checker) checkLimits(path string, lim Limits) {
 	if lim.RequestsPerSecond < 0 || lim.TokensPerSecond < 0 || lim.RequestsInFlight < 0 || lim.TokensInFlight < 0 {
-		ck.problem(path, "a limit is below 0; use 0 for none")
+		ck.addProblem(path, "a limit is below 0; use 0 for none")
 	}
-	if lim.TokensInFlight > 0 && lim.TokensInFlight < smallestPrompt {
-		ck.problem(path+"/TokensInFlight", "%d is below the smallest prompt of %d tokens; raise it", lim.TokensInFlight, smallestPrompt)
+	if lim.TokensInFlight > 0 && lim.TokensInFlight < minPromptTokens {
+		ck.addProblem(path+"/TokensInFlight", "%d is below the smallest prompt of %d tokens; raise it", lim.TokensInFlight, minPromptTokens)
 	}
 }
 
-func (ck *checker) services() {
+func (ck *checker) checkServices() {
 	models := map[string]string{}
 	paths := map[string]string{}
 	for _, name := range sortedKeys(ck.cfg.Services) {
 		svc := ck.cfg.Services[name]
 		path := "/Services/" + name
-		ck.service(path, svc)
+		ck.checkService(path, svc)
 		for _, model := range svc.Models {
 			if other, ok := models[model.Name]; ok {
-				ck.problem(path+"/Models", "%q is offered by %s too; give each model one service", model.Name, other)
+				ck.addProblem(path+"/Models", "%q is offered by %s too; give each model one service", model.Name, other)
 			}
 			models[model.Name] = name
 		}
@@ -115,58 +116,58 @@
 			continue
 		}
 		if other, ok := paths[svc.Path]; ok {
-			ck.problem(path+"/Path", "%s has the same path; give each service its own", other)
+			ck.addProblem(path+"/Path", "%s has the same path; give each service its own", other)
 		}
 		paths[svc.Path] = name
 	}
 }
 
-func (ck *checker) service(path string, svc Service) {
+func (ck *checker) checkService(path string, svc Service) {
 	switch svc.Kind {
 	case KindModel:
-		ck.modelService(path, svc)
+		ck.checkModelService(path, svc)
 	case KindPlain:
 		if !strings.HasPrefix(svc.Path, "/") || !strings.HasSuffix(svc.Path, "/") || strings.HasPrefix(svc.Path, "/v1/") {
-			ck.problem(path+"/Path", "%q does not do; begin and end it with a slash, outside /v1/", svc.Path)
+			ck.addProblem(path+"/Path", "%q does not do; begin and end it with a slash, outside /v1/", svc.Path)
 		}
 	default:
-		ck.problem(path+"/Kind", "%q is unknown; use %s or %s", svc.Kind, KindModel, KindPlain)
+		ck.addProblem(path+"/Kind", "%q is unknown; use %s or %s", svc.Kind, KindModel, KindPlain)
 	}
 	if svc.MaxDeadline == 0 && svc.Deadline > Duration(DefaultMaxDeadline) {
-		ck.problem(path+"/MaxDeadline", "Deadline %s is above the default of %s; state it", svc.Deadline, DefaultMaxDeadline)
+		ck.addProblem(path+"/MaxDeadline", "Deadline %s is above the default of %s; state it", svc.Deadline, DefaultMaxDeadline)
 	}
 	if svc.PrefillTokensPerSecond < 0 || svc.DecodeTokensPerSecond < 0 {
-		ck.problem(path, "a speed is below 0; use 0 for the default")
+		ck.addProblem(path, "a speed is below 0; use 0 for the default")
 	}
 	if svc.Deadline < 0 || svc.MaxDeadline < 0 || svc.ProgressTimeout < 0 || svc.MaxRunning < 0 {
-		ck.problem(path, "a duration or count is below 0; use 0 for the default")
+		ck.addProblem(path, "a duration or count is below 0; use 0 for the default")
 	}
 	if svc.MaxDeadline > 0 && svc.MaxDeadline < svc.Deadline {
-		ck.problem(path+"/MaxDeadline", "%s is below Deadline %s; raise it", svc.MaxDeadline, svc.Deadline)
+		ck.addProblem(path+"/MaxDeadline", "%s is below Deadline %s; raise it", svc.MaxDeadline, svc.Deadline)
 	}
 	if svc.Discipline != "" && svc.Discipline != DisciplinePriority && svc.Discipline != DisciplineWeighted {
-		ck.problem(path+"/Discipline", "%q is unknown; use %s or %s", svc.Discipline, DisciplinePriority, DisciplineWeighted)
+		ck.addProblem(path+"/Discipline", "%q is unknown; use %s or %s", svc.Discipline, DisciplinePriority, DisciplineWeighted)
 	}
 }
 
-func (ck *checker) modelService(path string, svc Service) {
+func (ck *checker) checkModelService(path string, svc Service) {
 	if len(svc.Models) == 0 {
-		ck.problem(path+"/Models", "offer at least one model")
+		ck.addProblem(path+"/Models", "offer at least one model")
 	}
 	if svc.MemoryTokens <= 0 {
-		ck.problem(path+"/MemoryTokens", "state how many tokens one engine's memory holds")
+		ck.addProblem(path+"/MemoryTokens", "state how many tokens one engine's memory holds")
 	}
 	for _, class := range sortedKeys(svc.ClassWeights) {
 		if weight := svc.ClassWeights[class]; weight <= 0 {
-			ck.problem(path+"/ClassWeights/"+class, "%g is not above 0", weight)
+			ck.addProblem(path+"/ClassWeights/"+class, "%g is not above 0", weight)
 		}
 		if !ck.hasClass(class) {
-			ck.problem(path+"/ClassWeights/"+class, "no length class of this name is declared")
+			ck.addProblem(path+"/ClassWeights/"+class, "no length class of this name is declared")
 		}
 	}
 	for _, role := range sortedKeys(svc.Roles) {
 		if svc.Roles[role] < 0 {
-			ck.problem(path+"/Roles/"+role, "%d is below 0", svc.Roles[role])
+			ck.addProblem(path+"/Roles/"+role, "%d is below 0", svc.Roles[role])
 		}
 	}
 }
@@ -180,63 +181,63 @@
 	return false
 }
 
-func (ck *checker) classes() {
+func (ck *checker) checkClasses() {
 	var last int64
 	seen := map[string]bool{}
 	for i, class := range ck.cfg.LengthClasses {
 		path := fmt.Sprintf("/LengthClasses/%d", i)
 		if class.Name == "" {
-			ck.problem(path+"/Name", "name the class")
+			ck.addProblem(path+"/Name", "name the class")
 		}
 		if seen[class.Name] {
-			ck.problem(path+"/Name", "%q stands twice; give each class its own name", class.Name)
+			ck.addProblem(path+"/Name", "%q stands twice; give each class its own name", class.Name)
 		}
 		seen[class.Name] = true
 		if class.MaxTokens <= last {
-			ck.problem(path+"/MaxTokens", "%d does not rise above %d; order the classes by length", class.MaxTokens, last)
+			ck.addProblem(path+"/MaxTokens", "%d does not rise above %d; order the classes by length", class.MaxTokens, last)
 		}
 		last = class.MaxTokens
 	}
 }
 
-func (ck *checker) operators() {
+func (ck *checker) checkOperators() {
 	owner := map[string]string{}
 	for _, name := range sortedKeys(ck.cfg.Operators) {
 		path := "/Operators/" + name
 		for _, digest := range ck.cfg.Operators[name].TokenDigests {
-			ck.digest(path, digest)
+			ck.checkDigest(path, digest)
 			if other, ok := owner[digest]; ok && other != name {
-				ck.problem(path+"/TokenDigests", "%s has the same token; give each operator its own", other)
+				ck.addProblem(path+"/TokenDigests", "%s has the same token; give each operator its own", other)
 			}
 			owner[digest] = name
 		}
 	}
 }
 
-func (ck *checker) objectives() {
+func (ck *checker) checkObjectives() {
 	for _, name := range sortedKeys(ck.cfg.Objectives) {
 		obj := ck.cfg.Objectives[name]
 		path := "/Objectives/" + name
 		if obj.Target <= 0 || obj.Target >= 1 {
-			ck.problem(path+"/Target", "%g is not between 0 and 1", obj.Target)
+			ck.addProblem(path+"/Target", "%g is not between 0 and 1", obj.Target)
 		}
 		switch obj.Signal {
 		case SignalOutcome:
 		case SignalFirstToken, SignalBetweenTokens:
 			if obj.Threshold <= 0 {
-				ck.problem(path+"/Threshold", "give the bound, such as 890ms")
+				ck.addProblem(path+"/Threshold", "give the bound, such as 890ms")
 			}
 		default:
-			ck.problem(path+"/Signal", "%q is unknown; use %s, %s or %s", obj.Signal, SignalFirstToken, SignalBetweenTokens, SignalOutcome)
+			ck.addProblem(path+"/Signal", "%q is unknown; use %s, %s or %s", obj.Signal, SignalFirstToken, SignalBetweenTokens, SignalOutcome)
 		}
 		if obj.LengthClass != "" && !ck.hasClass(obj.LengthClass) {
-			ck.problem(path+"/LengthClass", "no length class %q is declared", obj.LengthClass)
+			ck.addProblem(path+"/LengthClass", "no length class %q is declared", obj.LengthClass)
 		}
 		if _, ok := ck.cfg.Services[obj.Service]; obj.Service != "" && !ok {
-			ck.problem(path+"/Service", "no service %q is declared", obj.Service)
+			ck.addProblem(path+"/Service", "no service %q is declared", obj.Service)
 		}
 		if _, ok := ck.cfg.Organisations[obj.Organisation]; obj.Organisation != "" && !ok {
-			ck.problem(path+"/Organisation", "no organisation %q is declared", obj.Organisation)
+			ck.addProblem(path+"/Organisation", "no organisation %q is declared", obj.Organisation)
 		}
 	}
 }
--- a/pkg/decl/class.go
+++ b/pkg/decl/class.go
@@ -1,18 +1,18 @@
 package decl
 
-// LengthClass groups prompts of like length, so that each group is queued, limited and measured on its own.
+// LengthClass groups prompts of similar length, so that each group is queued, limited and measured separately.
 type LengthClass struct {
 	// Name appears in metrics and reports.
 	Name string
-	// MaxTokens is the longest prompt of the class, inclusive.
+	// MaxTokens is the length of the longest prompt of the class, inclusive.
 	MaxTokens int64
-	// Priority orders the classes; a higher one goes first.
+	// Priority orders the classes; the one with the highest number is served first.
 	Priority int
-	// Long prompts need a permit of their pool's coordinator.
+	// Long reports whether the prompts of the class need a permit of their pool's coordinator.
 	Long bool `json:",omitzero"`
 }
 
-// DefaultClasses are used where a configuration declares none.
+// DefaultClasses returns the length classes of a configuration that declares none.
 func DefaultClasses() []LengthClass {
 	return []LengthClass{
 		{Name: "Short", MaxTokens: 4000, Priority: 4},
@@ -31,7 +31,7 @@
 	return cfg.LengthClasses
 }
 
-// ClassOf returns the class of a prompt and false if the prompt is longer than every class allows.
+// ClassOf returns the class of a prompt. If the prompt is too long for every class, it returns the last class and false.
 func (cfg *Config) ClassOf(tokens int64) (LengthClass, bool) {
 	classes := cfg.Classes()
 	for _, class := range classes {
--- a/pkg/decl/config.go
+++ b/pkg/decl/config.go
@@ -1,4 +1,4 @@
-// Package decl holds the declarations that operators keep in version control: organisations, services,
+// Package decl defines, reads and checks the declarations that operators keep in version control: organisations, services,
 // length classes and objectives. A Config is one numbered version of all of them.
 package decl
 
@@ -8,20 +8,20 @@
 type Config struct {
 	// Version numbers the accepted patches from 1; 0 is the empty configuration.
 	Version int64
-	// Organisations holds every caller by name.
+	// Organisations holds the callers by name.
 	Organisations map[string]Organisation
-	// Services holds everything that requests are routed to, by name.
+	// Services holds the services that requests are routed to, by name.
 	Services map[string]Service
-	// LengthClasses is ordered by strictly rising MaxTokens; the last one bounds the longest prompt.
+	// LengthClasses is in strictly ascending order of MaxTokens. The last class limits the length of prompts.
 	LengthClasses []LengthClass
-	// Objectives states what the service-level burn is measured against, by name.
+	// Objectives holds the service-level objectives, against which burn rates are measured, by name.
 	Objectives map[string]Objective
-	// Operators holds who may submit patches, by name.
+	// Operators holds the operators, who may submit patches, by name.
 	Operators map[string]Operator
 }
 
-// Document returns the JSON form that patches are made against: every table is there, empty ones too, so that a patch
-// can add the first entry of each.
+// Document returns the JSON form that patches apply to. It includes empty tables, because otherwise a patch could not add
+// the first entry of one.
 func (cfg *Config) Document() ([]byte, error) {
 	full := *cfg
 	if full.Organisations == nil {
@@ -50,6 +50,6 @@
 type Operator struct {
 	// TokenDigests are lower-case hexadecimal SHA-256 digests of the bearer tokens, see TokenDigest.
 	TokenDigests []string
-	// ReadOnly operators may read status and configuration but submit nothing.
+	// ReadOnly limits the operator to reading the status and the configuration.
 	ReadOnly bool `json:",omitzero"`
 }
--- a/pkg/decl/diff.go
+++ b/pkg/decl/diff.go
@@ -12,11 +12,11 @@
 	Op    string
 	Path  string
 	Value any
-	// Before is what stands there now, for people; it is not sent.
+	// Before is the current value at Path. String shows it; the JSON form omits it.
 	Before any
 }
 
-// MarshalJSON writes the form of RFC 6902, in which a removal has no value and the others always have one.
+// MarshalJSON returns the form of RFC 6902, in which a removal has no value and the other operations always have one.
 func (op Operation) MarshalJSON() ([]byte, error) {
 	if op.Op == opRemove {
 		return json.Marshal(struct {
@@ -38,47 +38,47 @@
 	opReplace = "replace"
 )
 
-// String returns the operation as a line: + for what comes, - for what goes, ~ for what changes.
+// String returns the operation as a line that starts with + for an addition, - for a removal or ~ for a replacement.
 func (op Operation) String() string {
 	switch op.Op {
 	case opAdd:
-		return fmt.Sprintf("+ %s: %s", op.Path, compact(op.Value))
+		return fmt.Sprintf("+ %s: %s", op.Path, formatValue(op.Value))
 	case opRemove:
-		return fmt.Sprintf("- %s: %s", op.Path, compact(op.Before))
+		return fmt.Sprintf("- %s: %s", op.Path, formatValue(op.Before))
 	default:
-		return fmt.Sprintf("~ %s: %s -> %s", op.Path, compact(op.Before), compact(op.Value))
+		return fmt.Sprintf("~ %s: %s -> %s", op.Path, formatValue(op.Before), formatValue(op.Value))
 	}
 }
 
-// maxShown bounds the characters of a value in a line for people.
-const maxShown = 120
+// maxShownBytes is the length in bytes at which String cuts the JSON form of a value.
+const maxShownBytes = 120
 
-func compact(value any) string {
+func formatValue(value any) string {
 	raw, err := json.Marshal(value)
 	if err != nil {
 		return err.Error()
 	}
-	if len(raw) > maxShown {
-		return string(raw[:maxShown]) + "…"
+	if len(raw) > maxShownBytes {
+		return string(raw[:maxShownBytes]) + "…"
 	}
 	return string(raw)
 }
 
-// Diff returns the operations that turn one configuration into another, in the order of paths. Versions are left out.
+// Diff returns the operations that turn one configuration into another, ordered by path. It ignores the versions.
 func Diff(from, to *Config) ([]Operation, error) {
-	before, err := document(from)
+	before, err := decodedDocument(from)
 	if err != nil {
 		return nil, err
 	}
-	after, err := document(to)
+	after, err := decodedDocument(to)
 	if err != nil {
 		return nil, err
 	}
 	return diffObjects("", before, after), nil
 }
 
-// document returns the JSON form as maps, without the version.
-func document(cfg *Config) (map[string]any, error) {
+// decodedDocument returns the JSON form decoded into maps, without the version.
+func decodedDocument(cfg *Config) (map[string]any, error) {
 	raw, err := cfg.Document()
 	if err != nil {
 		return nil, err
@@ -91,7 +91,7 @@
 	return doc, nil
 }
 
-// pointerEscapes writes a key as a part of a JSON pointer.
+// pointerEscapes escapes a key for use as one element of a JSON pointer.
 var pointerEscapes = strings.NewReplacer("~", "~0", "/", "~1")
 
 func diffObjects(path string, before, after map[string]any) []Operation {
@@ -104,26 +104,26 @@
 		keys[key] = true
 	}
 	for _, key := range sortedKeys(keys) {
-		old, was := before[key]
-		value, is := after[key]
-		ops = append(ops, diffMember(path+"/"+pointerEscapes.Replace(key), old, was, value, is)...)
+		old, inBefore := before[key]
+		value, inAfter := after[key]
+		ops = append(ops, diffMember(path+"/"+pointerEscapes.Replace(key), old, inBefore, value, inAfter)...)
 	}
 	return ops
 }
 
-func diffMember(path string, old any, was bool, value any, is bool) []Operation {
-	if was && is && reflect.DeepEqual(old, value) {
+func diffMember(path string, old any, inBefore bool, value any, inAfter bool) []Operation {
+	if inBefore && inAfter && reflect.DeepEqual(old, value) {
 		return nil
 	}
 	switch {
-	case !is:
+	case !inAfter:
 		return []Operation{{Op: opRemove, Path: path, Before: old}}
-	case !was:
+	case !inBefore:
 		return []Operation{{Op: opAdd, Path: path, Value: value}}
 	}
-	oldObject, wasObject := old.(map[string]any)
-	object, isObject := value.(map[string]any)
-	if wasObject && isObject {
+	oldObject, oldIsObject := old.(map[string]any)
+	object, newIsObject := value.(map[string]any)
+	if oldIsObject && newIsObject {
 		return diffObjects(path, oldObject, object)
 	}
 	return []Operation{{Op: opReplace, Path: path, Value: value, Before: old}}
--- a/pkg/decl/dir.go
+++ b/pkg/decl/dir.go
@@ -13,18 +13,18 @@
 	"sigs.k8s.io/yaml"
 )
 
-// Directory is a configuration read from files, which remembers where each declaration stands.
+// Directory is a configuration read from several files. It records which file each declaration comes from.
 type Directory struct {
 	Config *Config
-	// Files lists what was read, in order.
+	// Files lists the files that were read, in order.
 	Files []string
-	// origins finds the file of a path such as "/Services/lyric".
+	// origins maps a path such as "/Services/lyric" to its file.
 	origins map[string]string
 }
 
-// ReadDir reads every .yaml, .yml and .json file below the root of the file system and joins them into one
+// ReadDir reads every .yaml, .yml and .json file below the root of the file system and merges them into one
 // configuration. Each file holds some of the configuration's fields; a name that two files declare is an error. The
-// error is Invalid and lists everything that is wrong, with file, path and remedy.
+// error is Invalid and lists all problems, with file, path and remedy.
 func ReadDir(root fs.FS) (*Directory, error) {
 	dir := &Directory{Config: &Config{}, origins: map[string]string{}}
 	var problems []string
@@ -40,7 +40,7 @@
 		return nil
 	})
 	if err != nil {
-		return nil, Invalid.Wrap(err, "decl: the directory cannot be read; check its path and rights")
+		return nil, Invalid.Wrap(err, "decl: the directory cannot be read; check its path and permissions")
 	}
 	if len(dir.Files) == 0 {
 		return nil, Invalid.New("decl: no .yaml, .yml or .json file is there; name the directory of the declarations")
@@ -59,7 +59,7 @@
 	return extension == ".yaml" || extension == ".yml" || extension == ".json"
 }
 
-// locate puts the file before a problem.
+// locate returns the problem's text, preceded by the name of the file that it is in.
 func (dir *Directory) locate(pr Problem) string {
 	file := ""
 	for origin, name := range dir.origins {
@@ -77,7 +77,7 @@
 	}
 	document, err := yaml.YAMLToJSONStrict(raw)
 	if err != nil {
-		return []string{fmt.Sprintf("%s: %v; mend the file's syntax", name, err)}
+		return []string{fmt.Sprintf("%s: %v; correct the file's syntax", name, err)}
 	}
 	part := &Config{}
 	decoder := json.NewDecoder(bytes.NewReader(document))
@@ -85,20 +85,20 @@
 	if err := decoder.Decode(part); err != nil {
 		return []string{fmt.Sprintf("%s: %v; use the field names of the schema", name, err)}
 	}
-	return dir.join(name, part)
+	return dir.merge(name, part)
 }
 
-// join adds a file's declarations and returns what clashes.
-func (dir *Directory) join(name string, part *Config) []string {
+// merge adds a file's declarations and returns the problems, such as names that another file declares.
+func (dir *Directory) merge(name string, part *Config) []string {
 	var problems []string
 	if part.Version != 0 {
 		problems = append(problems, name+": /Version: leave it out; the log of patches numbers the versions")
 	}
 	cfg := dir.Config
-	problems = append(problems, joinMap(dir, name, "/Organisations/", &cfg.Organisations, part.Organisations)...)
-	problems = append(problems, joinMap(dir, name, "/Services/", &cfg.Services, part.Services)...)
-	problems = append(problems, joinMap(dir, name, "/Objectives/", &cfg.Objectives, part.Objectives)...)
-	problems = append(problems, joinMap(dir, name, "/Operators/", &cfg.Operators, part.Operators)...)
+	problems = append(problems, mergeMap(dir, name, "/Organisations/", &cfg.Organisations, part.Organisations)...)
+	problems = append(problems, mergeMap(dir, name, "/Services/", &cfg.Services, part.Services)...)
+	problems = append(problems, mergeMap(dir, name, "/Objectives/", &cfg.Objectives, part.Objectives)...)
+	problems = append(problems, mergeMap(dir, name, "/Operators/", &cfg.Operators, part.Operators)...)
 	if len(part.LengthClasses) == 0 {
 		return problems
 	}
@@ -110,7 +110,7 @@
 	return problems
 }
 
-func joinMap[Value any](dir *Directory, name, prefix string, into *map[string]Value, part map[string]Value) []string {
+func mergeMap[Value any](dir *Directory, name, prefix string, into *map[string]Value, part map[string]Value) []string {
 	var problems []string
 	for _, key := range sortedKeys(part) {
 		if other, ok := dir.origins[prefix+key]; ok {
@@ -135,29 +135,29 @@
 	return keys
 }
 
-// Problem is one thing wrong with a configuration.
+// Problem is one error in a configuration.
 type Problem struct {
 	// Path is a JSON pointer to the field.
 	Path string
-	// Remedy says what is wrong and what to write instead.
-	Remedy string
+	// Message states what is wrong and what to write instead.
+	Message string
 }
 
-// String returns the path and the remedy.
+// String returns the path and the message.
 func (pr Problem) String() string {
-	return pr.Path + ": " + pr.Remedy
+	return pr.Path + ": " + pr.Message
 }
 
-// Problems returns everything wrong with the configuration, ordered by path.
+// Problems returns all problems of the configuration, ordered by path.
 func (cfg *Config) Problems() []Problem {
 	ck := &checker{cfg: cfg}
-	ck.organisations()
-	ck.services()
-	ck.classes()
-	ck.objectives()
-	ck.operators()
-	slices.SortFunc(ck.problems, func(one, two Problem) int {
-		return strings.Compare(one.String(), two.String())
+	ck.checkOrganisations()
+	ck.checkServices()
+	ck.checkClasses()
+	ck.checkObjectives()
+	ck.checkOperators()
+	slices.SortFunc(ck.problems, func(a, b Problem) int {
+		return strings.Compare(a.String(), b.String())
 	})
 	return ck.problems
 }
--- a/pkg/decl/dir_test.go
+++ b/pkg/decl/dir_test.go
@@ -28,14 +28,14 @@
 		files map[string]string
 		want  string
 	}{
-		"unknown field":   {map[string]string{"a.yaml": "Services: {s: {Knd: Model}}"}, `a.yaml: json: unknown field "Knd"; use the field names of the schema`},
-		"dangling name":   {map[string]string{"o.yaml": "Objectives: {x: {Signal: Outcome, Service: gone, Target: 0.9}}"}, `o.yaml: /Objectives/x/Service: no service "gone" is declared`},
-		"declared twice":  {map[string]string{"a.yaml": "Operators: {x: {}}", "b.json": `{"Operators":{"x":{}}}`}, `b.json: /Operators/x: a.yaml declares it too; keep one`},
-		"bad limit":       {map[string]string{"a.yaml": "Organisations: {o: {TokenDigests: [], Limits: {TokensInFlight: 5}}}"}, `a.yaml: /Organisations/o/Limits/TokensInFlight: 5 is below the smallest prompt`},
-		"bad duration":    {map[string]string{"a.yaml": "Services: {s: {Deadline: soon}}"}, `duration "soon": write a number with a unit`},
-		"key twice":       {map[string]string{"a.yaml": "Operators: {}\nOperators: {}"}, `a.yaml: `},
-		"version written": {map[string]string{"a.yaml": "Version: 3"}, `a.yaml: /Version: leave it out`},
-		"nothing there":   {map[string]string{"readme.txt": ""}, `no .yaml, .yml or .json file is there`},
+		"unknown field":        {map[string]string{"a.yaml": "Services: {s: {Knd: Model}}"}, `a.yaml: json: unknown field "Knd"; use the field names of the schema`},
+		"undeclared service":   {map[string]string{"o.yaml": "Objectives: {x: {Signal: Outcome, Service: gone, Target: 0.9}}"}, `o.yaml: /Objectives/x/Service: no service "gone" is declared`},
+		"declared twice":       {map[string]string{"a.yaml": "Operators: {x: {}}", "b.json": `{"Operators":{"x":{}}}`}, `b.json: /Operators/x: a.yaml declares it too; keep one`},
+		"bad limit":            {map[string]string{"a.yaml": "Organisations: {o: {TokenDigests: [], Limits: {TokensInFlight: 5}}}"}, `a.yaml: /Organisations/o/Limits/TokensInFlight: 5 is below the smallest prompt`},
+		"bad duration":         {map[string]string{"a.yaml": "Services: {s: {Deadline: soon}}"}, `duration "soon": write a number with a unit`},
+		"duplicate key":        {map[string]string{"a.yaml": "Operators: {}\nOperators: {}"}, `a.yaml: `},
+		"version given":        {map[string]string{"a.yaml": "Version: 3"}, `a.yaml: /Version: leave it out`},
+		"no declaration files": {map[string]string{"readme.txt": ""}, `no .yaml, .yml or .json file is there`},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -49,17 +49,17 @@
 	}
 }
 
-func TestDiffAppliesToItsTarget(t *testing.T) {
+func TestDiffPatchYieldsTarget(t *testing.T) {
 	first, err := decl.ReadDir(os.DirFS("../../examples/sreekovil"))
 	assert.NilError(t, err)
 	second, err := decl.ReadDir(os.DirFS("../../examples/sundarban"))
 	assert.NilError(t, err)
 	cases := map[string]struct{ from, to *decl.Config }{
-		"from nothing":  {&decl.Config{}, first.Config},
-		"to another":    {first.Config, second.Config},
-		"to nothing":    {first.Config, &decl.Config{}},
-		"to the same":   {first.Config, first.Config},
-		"slash in name": {&decl.Config{}, &decl.Config{Operators: map[string]decl.Operator{"a/b~c": {}}}},
+		"from an empty configuration": {&decl.Config{}, first.Config},
+		"to another configuration":    {first.Config, second.Config},
+		"to an empty configuration":   {first.Config, &decl.Config{}},
+		"to the same configuration":   {first.Config, first.Config},
+		"slash in name":               {&decl.Config{}, &decl.Config{Operators: map[string]decl.Operator{"a/b~c": {}}}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/decl/duration.go
+++ b/pkg/decl/duration.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Duration is a time.Duration written as text, such as "1m30s".
+// Duration is a time.Duration that is encoded as text, such as "1m30s".
 type Duration time.Duration
 
-// Std returns the standard library's form.
+// Std returns the duration as a time.Duration.
 func (dur Duration) Std() time.Duration {
 	return time.Duration(dur)
 }
--- a/pkg/decl/engine.go
+++ b/pkg/decl/engine.go
@@ -1,33 +1,42 @@
 package decl
 
-// Engine holds the declared figures by which a model engine works. It takes its requests in passes: with requests that
-// write, a pass is Stride steps, each of which writes one token for each of them and reads up to Chunk prompt tokens.
+// Engine holds the declared performance of a model engine. An engine works in passes. While any of its requests are
+// decoding, a pass has Stride steps. Each step generates one token for each of these requests and prefills up to Chunk
+// prompt tokens.
 type Engine struct {
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests the engine runs at once.
 	Slots int
-	// Memory is how many tokens, prompts and answers together, it holds.
+	// Memory is how many tokens, of prompts and answers together, the engine's memory holds.
 	Memory int64
-	// Step is the time of one step in ms, PerWriter what each request that writes adds to it, and PerContext what each
-	// thousand tokens of their contexts add.
-	Step, PerWriter, PerContext float64
-	// ReadRate is in prompt tokens a ms, PairCost in ms a million pairs of a token and one before it.
-	ReadRate, PairCost float64
-	// Chunk is the longest part of a prompt that one step reads, in tokens.
+	// Step is the fixed part of a step's duration, in ms.
+	Step float64
+	// PerWriter is what each decoding request adds to a step, in ms.
+	PerWriter float64
+	// PerContext is what each thousand context tokens of the decoding requests add to a step, in ms.
+	PerContext float64
+	// ReadRate is the prefill speed in prompt tokens per ms, without the cost of PairCost.
+	ReadRate float64
+	// PairCost is the prefill time in ms per million pairs of a prompt token and an earlier one.
+	PairCost float64
+	// Chunk is the maximum number of prompt tokens that one step prefills.
 	Chunk int64
-	// Stride is how many tokens one event of a stream holds.
+	// Stride is how many tokens one event of a stream carries.
 	Stride int
-	// Hop is what a prompt in several engines adds to a step, in ms; Helpers is how many others may read one prompt.
-	Hop     float64
+	// Hop is what a prompt that is split among several engines adds to a step, in ms.
+	Hop float64
+	// Helpers is how many other engines may prefill parts of one prompt.
 	Helpers int
 }
 
-// Reading is so much of a prompt that one engine reads.
+// Reading is an amount of prefill work of one engine.
 type Reading struct {
-	// Time is in ms. Steps are those that it is spread over, each of which takes its time besides.
-	Time, Steps float64
+	// Time is the time that the prompt tokens take, in ms.
+	Time float64
+	// Steps is the number of steps that the work is spread over. Their own duration, see Engine.StepTime, adds to Time.
+	Steps float64
 }
 
-// Reading is the part that each of so many engines has that read a prompt together.
+// Reading returns the work of each engine when several engines prefill one prompt in equal parts.
 func (eng *Engine) Reading(prompt int64, engines int) Reading {
 	tokens := float64(prompt)
 	pairs := tokens * tokens / 2 / 1e6
@@ -37,18 +46,19 @@
 	}
 }
 
-// StepTime is how long in ms one step takes with the writers and their contexts, in tokens.
+// StepTime returns the duration of one step in ms. writers is the number of decoding requests and contexts the sum of their
+// contexts in tokens.
 func (eng *Engine) StepTime(writers int, contexts int64) float64 {
 	return eng.Step + float64(writers)*eng.PerWriter + float64(contexts)/1000*eng.PerContext
 }
 
-// Alone is how long in ms an engine takes for the reading that has nothing else to do.
+// Alone returns how long an engine that has no other work takes for the prefill, in ms.
 func (rd Reading) Alone(eng *Engine) float64 { return rd.Time + rd.Steps*eng.Step }
 
-// Times is so much of the reading.
+// Times returns the work multiplied by a factor.
 func (rd Reading) Times(part float64) Reading { return Reading{rd.Time * part, rd.Steps * part} }
 
-// Plus is both together.
+// Plus returns the sum of the work.
 func (rd Reading) Plus(other Reading) Reading {
 	return Reading{rd.Time + other.Time, rd.Steps + other.Steps}
 }
--- a/pkg/decl/objective.go
+++ b/pkg/decl/objective.go
@@ -1,25 +1,27 @@
 package decl
 
-// Signals that an objective can bound.
+// Signals that an objective can apply to.
 const (
 	// SignalFirstToken is the time from arrival to the first token.
 	SignalFirstToken = "FirstToken"
 	// SignalBetweenTokens is the mean gap between the tokens of one answer.
 	SignalBetweenTokens = "BetweenTokens"
-	// SignalOutcome counts answers against failures; it has no threshold.
+	// SignalOutcome is whether the request was answered or failed. It has no threshold.
 	SignalOutcome = "Outcome"
 )
 
-// Objective is a promise whose error budget is watched.
+// Objective is a service-level objective whose error budget is tracked.
 type Objective struct {
 	// Signal is one of the Signal constants.
 	Signal string
-	// Service, Organisation and LengthClass narrow the objective; an empty one means all.
-	Service      string `json:",omitzero"`
+	// Service restricts the objective to one service; empty means all.
+	Service string `json:",omitzero"`
+	// Organisation restricts the objective to one organisation; empty means all.
 	Organisation string `json:",omitzero"`
-	LengthClass  string `json:",omitzero"`
-	// Threshold is the bound of a latency signal.
+	// LengthClass restricts the objective to one length class; empty means all.
+	LengthClass string `json:",omitzero"`
+	// Threshold is the upper bound of a latency signal.
 	Threshold Duration `json:",omitzero"`
-	// Target is the share of requests that must keep it, between 0 and 1, both excluded.
+	// Target is the share of requests that must meet the objective, between 0 and 1, both excluded.
 	Target float64
 }
--- a/pkg/decl/organisation.go
+++ b/pkg/decl/organisation.go
@@ -5,23 +5,23 @@
 	"encoding/hex"
 )
 
-// Organisation is a caller with its own tokens, share and limits.
+// Organisation is a caller with its own tokens, weight and limits.
 type Organisation struct {
 	// TokenDigests are lower-case hexadecimal SHA-256 digests of the bearer tokens, see TokenDigest.
 	TokenDigests []string
-	// Weight is the share of the fleet under contention, above 0; 0 counts as 1.
+	// Weight is the relative share of the fleet's capacity under contention, above 0; 0 counts as 1.
 	Weight float64 `json:",omitzero"`
-	// Limits bound the organisation over the whole fleet; a zero field is unlimited.
+	// Limits apply to the organisation over the whole fleet; a zero field is unlimited.
 	Limits Limits `json:",omitzero"`
-	// Services names what the organisation may use; empty allows all.
+	// Services names the services that the organisation may use; empty allows all.
 	Services []string `json:",omitzero"`
 }
 
 // Limits bound what one organisation may ask for over all instances together.
 type Limits struct {
-	// RequestsPerSecond is the sustained rate; bursts of one second's worth pass.
+	// RequestsPerSecond is the sustained rate; bursts of up to one second's requests are admitted.
 	RequestsPerSecond float64 `json:",omitzero"`
-	// TokensPerSecond counts prompt and asked-for completion tokens.
+	// TokensPerSecond counts prompt tokens and requested completion tokens.
 	TokensPerSecond float64 `json:",omitzero"`
 	// RequestsInFlight counts admitted requests that have not ended.
 	RequestsInFlight int64 `json:",omitzero"`
@@ -35,7 +35,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// ShareWeight returns the weight with the default filled in.
+// ShareWeight returns the weight, 1 if none is declared.
 func (org Organisation) ShareWeight() float64 {
 	if org.Weight <= 0 {
 		return 1
@@ -43,7 +43,7 @@
 	return org.Weight
 }
 
-// MayUse reports whether the organisation is allowed the service.
+// MayUse reports whether the organisation may use the service.
 func (org Organisation) MayUse(service string) bool {
 	if len(org.Services) == 0 {
 		return true
--- a/pkg/decl/routing_test.go
+++ b/pkg/decl/routing_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-func TestIndexFindsWhatAScanFinds(t *testing.T) {
-	// Prefixes lie within each other and hosts share them. The longest that begins the path wins, with the index as without.
+func TestIndexedFindMatchesScan(t *testing.T) {
+	// Prefixes are nested, and several hosts have the same ones. The index must not find another route than the scan, which
+	// takes the longest prefix that matches the path.
 	part := rapid.SampledFrom([]string{"a/", "b/", "ab/", "a", "", "/"})
 	rapid.Check(t, func(rt *rapid.T) {
 		draw := func(label string) string {
--- a/pkg/decl/schema.go
+++ b/pkg/decl/schema.go
@@ -5,7 +5,7 @@
 	"reflect"
 )
 
-// Schema is the part of JSON Schema (draft 2020-12) that describes the declarations.
+// Schema is the subset of JSON Schema (draft 2020-12) that describes the declarations.
 type Schema struct {
 	Schema               string             `json:"$schema,omitempty"`
 	Title                string             `json:"title,omitempty"`
@@ -17,17 +17,17 @@
 	AdditionalProperties any                `json:"additionalProperties,omitempty"`
 }
 
-// durationPattern is what time.ParseDuration reads, without signs.
+// durationPattern matches the durations that time.ParseDuration accepts, without signs.
 const durationPattern = `^([0-9.]+(ns|us|µs|ms|s|m|h))+$`
 
-// enums lists the fields that take one of a few words, by type and field.
+// enums lists the accepted values of fields, by the names of type and field.
 var enums = map[string][]string{
 	"Service.Kind":       {KindModel, KindPlain},
 	"Service.Discipline": {DisciplinePriority, DisciplineWeighted},
 	"Objective.Signal":   {SignalFirstToken, SignalBetweenTokens, SignalOutcome},
 }
 
-// NewSchema returns the schema of one file of declarations.
+// NewSchema returns the schema of a file of declarations.
 func NewSchema() *Schema {
 	sc := schemaOf(reflect.TypeFor[Config]())
 	sc.Schema = "https://json-schema.org/draft/2020-12/schema"
--- a/pkg/decl/service.go
+++ b/pkg/decl/service.go
@@ -10,71 +10,76 @@
 	KindPlain = "Plain"
 )
 
-// Disciplines by which an instance orders the waiting requests of unlike length classes.
+// Disciplines by which an instance orders waiting requests of different length classes.
 const (
-	// DisciplinePriority serves classes by priority with ageing towards the deadline.
+	// DisciplinePriority serves classes by priority; waiting requests age towards their deadline.
 	DisciplinePriority = "Priority"
-	// DisciplineWeighted shares the service between classes by their weights.
+	// DisciplineWeighted divides the capacity among classes by their weights.
 	DisciplineWeighted = "Weighted"
 )
 
-// Service is one thing that requests are routed to: replicas of a model engine or of a plain service.
+// Service is a destination of requests: the replicas of a model engine or of a plain HTTP service.
 type Service struct {
 	// Kind is KindModel or KindPlain.
 	Kind string
-	// Models are the names that callers give in the completions API; no two services share one. Model services only.
+	// Models are the models that callers name in the completions API. No two services may offer the same name. Model services
+	// only.
 	Models []Model `json:",omitzero"`
 	// Path is the prefix of the HTTP routes of a plain service, with slashes at both ends.
 	Path string `json:",omitzero"`
 	// Repeatable lists the methods of a plain service that are idempotent; empty means GET, HEAD, PUT, DELETE and OPTIONS.
 	Repeatable []string `json:",omitzero"`
-	// HonoursKeys says that the service itself runs an idempotency key once, so that a retry is safe.
+	// HonoursKeys reports whether the service itself runs each idempotency key only once, so that a retry is safe.
 	HonoursKeys bool `json:",omitzero"`
-	// ChecksFencing says that the engines refuse an order with an old fencing number.
+	// ChecksFencing reports whether the engines refuse an order with an old fencing number.
 	ChecksFencing bool `json:",omitzero"`
-	// Deadline is the time a request has when the caller names none; above 0.
+	// Deadline is the time that a request has if the caller gives no deadline; 0 means DefaultDeadline.
 	Deadline Duration `json:",omitzero"`
-	// MaxDeadline caps what a caller may ask for; at least Deadline.
+	// MaxDeadline is the longest deadline that a caller may ask for; at least Deadline. 0 means DefaultMaxDeadline, or Deadline
+	// if that is longer.
 	MaxDeadline Duration `json:",omitzero"`
-	// ProgressTimeout is the longest silence of an upstream within an answer before it counts as dead.
+	// ProgressTimeout is how long an upstream may send nothing within an answer before it is treated as dead; 0 means
+	// DefaultProgressTimeout.
 	ProgressTimeout Duration `json:",omitzero"`
-	// MemoryTokens is what one engine's memory holds; 0 for plain services.
+	// MemoryTokens is how many tokens one engine's memory holds; 0 for plain services.
 	MemoryTokens int64 `json:",omitzero"`
-	// PrefillTokensPerSecond is a first estimate of an engine's prefill speed, corrected by what is observed.
+	// PrefillTokensPerSecond is the initial estimate of an engine's prefill speed, which is corrected by observations.
 	PrefillTokensPerSecond float64 `json:",omitzero"`
-	// DecodeTokensPerSecond is a first estimate of an engine's speed for one stream.
+	// DecodeTokensPerSecond is the initial estimate of an engine's decoding speed for one stream.
 	DecodeTokensPerSecond float64 `json:",omitzero"`
-	// MaxRunning is how many requests one replica runs at once; above 0.
+	// MaxRunning is how many requests one replica runs at once; 0 means DefaultMaxRunning.
 	MaxRunning int64 `json:",omitzero"`
 	// Discipline is DisciplinePriority (default) or DisciplineWeighted.
 	Discipline string `json:",omitzero"`
-	// ClassWeights gives each length class its weight under DisciplineWeighted; an absent one counts as 1.
+	// ClassWeights holds the weights of length classes under DisciplineWeighted; an absent one counts as 1.
 	ClassWeights map[string]float64 `json:",omitzero"`
-	// Roles wanted of the replicas, by role name, as counts; empty leaves roles alone.
+	// Roles is the desired number of replicas of each role, by role name. If it is empty, roles are not changed.
 	Roles map[string]int `json:",omitzero"`
 }
 
-// Model is one offered model, with the version and adapters that its replicas should have loaded.
+// Model is a model that a service offers, with the version and adapters that its replicas should load.
 type Model struct {
-	// Name is what callers give.
+	// Name is the model name in callers' requests.
 	Name string
-	// Version is the wanted weight version; empty leaves it alone.
+	// Version is the desired version of the weights. If it is empty, the version is not changed.
 	Version string `json:",omitzero"`
-	// Adapters are loaded beside the weights and offered as "model:adapter".
+	// Adapters are loaded in addition to the weights and offered as "model:adapter".
 	Adapters []string `json:",omitzero"`
 }
 
-// Replica defaults where a service names none.
+// Defaults of the fields that a service leaves at zero.
 const (
 	DefaultDeadline        = 60 * time.Second
 	DefaultMaxDeadline     = 30 * time.Minute
 	DefaultProgressTimeout = 5 * time.Second
 	DefaultMaxRunning      = 32
-	DefaultPrefillRate     = 20000
-	DefaultDecodeRate      = 50
+	// DefaultPrefillRate is in tokens per second.
+	DefaultPrefillRate = 20000
+	// DefaultDecodeRate is in tokens per second for one stream.
+	DefaultDecodeRate = 50
 )
 
-// WithDefaults returns the service with its zero fields filled in.
+// WithDefaults returns the service with defaults in place of its zero fields.
 func (svc Service) WithDefaults() Service {
 	if svc.Deadline == 0 {
 		svc.Deadline = Duration(DefaultDeadline)
@@ -100,7 +105,7 @@
 	return svc
 }
 
-// Idempotent reports whether a call of a plain service with the method may be repeated.
+// Idempotent reports whether a call with the HTTP method may be retried. It is true for all calls of model services.
 func (svc Service) Idempotent(method string) bool {
 	if svc.Kind == KindModel {
 		return true
