--- a/internal/once/export_test.go
+++ b/internal/once/export_test.go
@@ -1,4 +1,4 @@
 package once
 
-// SealAt makes segments so short that tests meet many of them.
+// SealAt sets the length in bytes at which segments are sealed, so that tests produce many short ones.
 func (cs *Claims) SealAt(length int) { cs.sealAt = length }
--- a/internal/once/home.go
+++ b/internal/once/home.go
@@ -15,85 +15,87 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// homes knows which instance batches the writes of each shard. Two instances that both believe to be a shard's home
-// cost each other swaps and nothing else.
-type homes struct {
-	// Transport reaches the peers; nil where there are none, then each instance writes for itself. Set before Run.
+// homeTable holds the home of each shard, the instance that batches the shard's writes. Two instances that both act as a
+// shard's home make some of each other's swaps fail, and do no other harm.
+type homeTable struct {
+	// Transport sends messages to peers. Without peers it is nil, and each instance writes for itself. Set it before Run.
 	Transport peers.Transport
-	// byShard holds the peer address of each shard's home, empty for this instance; nil while no members are known.
-	byShard atomic.Pointer[[Shards]string]
+	// homeAddrs holds the peer address of each shard's home, empty for this instance. It is nil until members are known.
+	homeAddrs atomic.Pointer[[ShardCount]string]
 }
 
-// SetMembers takes the entry instances that are thought to live.
+// SetMembers computes the homes from the entry instances that are believed to be alive.
 func (cs *Claims) SetMembers(instances []event.Instance) {
-	var addresses [Shards]string
+	var addresses [ShardCount]string
 	for shard := range addresses {
-		addresses[shard] = cs.home(shard, instances)
+		addresses[shard] = cs.chooseHome(shard, instances)
 	}
-	cs.byShard.Store(&addresses)
+	cs.homeAddrs.Store(&addresses)
 }
 
-func (cs *Claims) home(shard int, instances []event.Instance) string {
-	best := rank(shard, cs.name)
+// chooseHome returns the peer address of the instance with the highest rendezvous hash for the shard, empty for this one.
+func (cs *Claims) chooseHome(shard int, instances []event.Instance) string {
+	bestScore := rendezvousHash(shard, cs.name)
 	address := ""
 	for _, inst := range instances {
 		if inst.Leaving || inst.Peer == "" || inst.Name == cs.name {
 			continue
 		}
-		if own := rank(shard, inst.Name); own > best {
-			best = own
+		if score := rendezvousHash(shard, inst.Name); score > bestScore {
+			bestScore = score
 			address = inst.Peer
 		}
 	}
 	return address
 }
 
-func rank(shard int, name string) uint64 {
+func rendezvousHash(shard int, name string) uint64 {
 	return xxhash.Sum64String("claim/" + strconv.Itoa(shard) + "/" + name)
 }
 
-// homeOf returns the peer address of the shard's home, empty if this instance writes itself.
-func (cs *Claims) homeOf(shard int) string {
-	addresses := cs.byShard.Load()
+// homeAddress returns the peer address of the shard's home, empty if this instance writes the shard itself.
+func (cs *Claims) homeAddress(shard int) string {
+	addresses := cs.homeAddrs.Load()
 	if cs.Transport == nil || addresses == nil {
 		return ""
 	}
 	return addresses[shard]
 }
 
-// unanswered tells a store that gave no answer from one that refused.
-func unanswered(err error) bool {
+// isUnavailable reports whether the store gave no answer, as opposed to refusing the call.
+func isUnavailable(err error) bool {
 	return errorx.IsOfType(err, store.Unavailable)
 }
 
-// forwardClaim asks the shard's home; ok is false if this instance has to write itself. The home may have recorded the
-// claim although its answer was lost; the nonce shows it.
-func (cs *Claims) forwardClaim(ctx context.Context, shard int, op *claimOp) (claimed, bool) {
-	address := cs.homeOf(shard)
+// forwardClaim sends the claim to the shard's home. It returns false if this instance has to write the claim itself. The
+// home may have recorded the claim although its response was lost; the nonce in the record shows it then.
+func (cs *Claims) forwardClaim(ctx context.Context, shard int, op *claimOp) (claimResult, bool) {
+	address := cs.homeAddress(shard)
 	if address == "" {
-		return claimed{}, false
+		return claimResult{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	wait := forwardTimeout
-	if ends, ok := ctx.Deadline(); ok {
-		wait = time.Until(ends)
+	if deadline, ok := ctx.Deadline(); ok {
+		wait = time.Until(deadline)
 	}
 	answer, err := cs.Transport.Ask(ctx, address, wire.ClaimAsk{
-		Shard: shard, Hash: op.hash, Digest: op.digest, Nonce: op.nonce, Lasts: time.Until(op.ends), Wait: wait,
+		Shard: shard, Hash: op.hash, Digest: op.digest, Nonce: op.nonce, Lasts: time.Until(op.deadline), Wait: wait,
 	})
 	if err != nil {
-		return claimed{}, false
+		return claimResult{}, false
 	}
 	got, ok := answer.(wire.ClaimAnswer)
 	if !ok || got.Result == int(event.ClaimUnavailable) {
-		return claimed{}, false
+		return claimResult{}, false
 	}
-	return claimed{result: event.ClaimResult(got.Result), out: event.Outcome(got.Outcome)}, true
+	return claimResult{result: event.ClaimResult(got.Result), out: event.Outcome(got.Outcome)}, true
 }
 
+// forwardSettle sends the outcome or release to the shard's home and reports whether the home recorded it.
 func (cs *Claims) forwardSettle(ctx context.Context, shard int, op *settleOp) bool {
-	address := cs.homeOf(shard)
+	address := cs.homeAddress(shard)
 	if address == "" {
 		return false
 	}
@@ -106,38 +108,38 @@
 	return err == nil && ok && got.Result == int(event.ClaimWon)
 }
 
-// Handle answers a peer that takes this instance for a shard's home, nil if the message is about something else.
+// Handle answers a peer that considers this instance a shard's home. It returns nil for other kinds of messages.
 func (cs *Claims) Handle(ctx context.Context, msg wire.Message) wire.Message {
 	switch msg := msg.(type) {
 	case wire.ClaimAsk:
-		return cs.claimFor(ctx, msg)
+		return cs.handleClaim(ctx, msg)
 	case wire.ClaimSettle:
-		return cs.settleFor(ctx, msg)
+		return cs.handleSettle(ctx, msg)
 	}
 	return nil
 }
 
-func (cs *Claims) claimFor(ctx context.Context, msg wire.ClaimAsk) wire.ClaimAnswer {
-	if msg.Shard < 0 || msg.Shard >= Shards {
+func (cs *Claims) handleClaim(ctx context.Context, msg wire.ClaimAsk) wire.ClaimAnswer {
+	if msg.Shard < 0 || msg.Shard >= ShardCount {
 		return wire.ClaimAnswer{Result: int(event.ClaimUnavailable)}
 	}
 	ctx, cancel := context.WithTimeout(ctx, min(msg.Wait, forwardTimeout))
 	defer cancel()
 	lasts := min(msg.Lasts, cs.retention())
-	// The one who asked gives the claim up and releases it if need be, since it alone knows whether the request runs.
+	// If need be the requesting instance releases the claim, since it alone knows whether the request runs.
 	res := cs.claimHere(ctx, msg.Shard, &claimOp{
-		hash: msg.Hash, digest: msg.Digest, nonce: msg.Nonce, ends: time.Now().Add(lasts), given: make(chan claimed, 1),
+		hash: msg.Hash, digest: msg.Digest, nonce: msg.Nonce, deadline: time.Now().Add(lasts), reply: make(chan claimResult, 1),
 	})
 	return wire.ClaimAnswer{Result: int(res.result), Outcome: wire.ClaimOutcome(res.out)}
 }
 
-func (cs *Claims) settleFor(ctx context.Context, msg wire.ClaimSettle) wire.ClaimAnswer {
-	if msg.Shard < 0 || msg.Shard >= Shards {
+func (cs *Claims) handleSettle(ctx context.Context, msg wire.ClaimSettle) wire.ClaimAnswer {
+	if msg.Shard < 0 || msg.Shard >= ShardCount {
 		return wire.ClaimAnswer{Result: int(event.ClaimUnavailable)}
 	}
 	ctx, cancel := context.WithTimeout(ctx, min(msg.Wait, forwardTimeout))
 	defer cancel()
-	if len(msg.Outcome.Body) > KeptBody {
+	if len(msg.Outcome.Body) > MaxStoredBody {
 		msg.Outcome.Body, msg.Outcome.Truncated = nil, true
 	}
 	op := &settleOp{hash: msg.Hash, nonce: msg.Nonce, out: event.Outcome(msg.Outcome), release: msg.Release, done: make(chan struct{})}
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -1,6 +1,7 @@
-// Package once records idempotency keys before their requests are sent, so that a request that must not be repeated
-// runs at most once, whichever instance a resend meets. Claims are grouped by key into a fixed number of shards, one
-// value a shard, written by compare-and-swap: the swap makes it safe, and a home for each shard only saves writes.
+// Package once records idempotency keys in the store before their requests are sent, so that a request that must not be
+// repeated runs at most once, whichever instance receives a resend. The claims are spread by key over a fixed number of
+// shards. A shard consists of segments, one value in the store each, which are written by compare-and-swap. This alone
+// makes claims safe; that one instance, the shard's home, batches the claims of all instances only saves writes.
 package once
 
 import (
@@ -19,64 +20,68 @@
 )
 
 const (
-	// Prefix is where claims are kept.
+	// Prefix is the prefix of the store's keys that hold claims.
 	Prefix = "dandelionsail/claim/"
-	// Shards is how many values the claims are kept in. It cannot change while claims are kept.
-	Shards = 64
-	// KeptBody is how much of an answer is kept for a resend.
-	KeptBody = 4 << 10
-	// ResendWindow is how long after its deadline a request may be sent again and still be recognised.
+	// ShardCount is the number of shards that the claims are spread over. It must not change while claims are stored,
+	// because it determines the shard of a key.
+	ShardCount = 64
+	// MaxStoredBody is how many bytes of a response body are stored for resends.
+	MaxStoredBody = 4 << 10
+	// ResendWindow is how long after its deadline a request can be resent and still be recognised.
 	ResendWindow = 30 * time.Minute
-	// patience is the longest wait for a claim; after it the caller hears "not run" and when to come back.
-	patience = 10 * time.Second
-	// outageAfter is how long the store must have failed until claims are refused after one short try.
-	outageAfter    = 10 * time.Second
-	outagePatience = 500 * time.Millisecond
-	// firstLook and maxLook are the waits between looks for the end of a request that is under way under the same key.
-	firstLook = 50 * time.Millisecond
-	maxLook   = time.Second
-	// forwardTimeout bounds one question to a shard's home.
+	// claimWait bounds the wait for a claim; after it the caller gets "not run" and the time after which to retry.
+	claimWait = 10 * time.Second
+	// outageThreshold is how long the store must have failed until outageClaimWait applies.
+	outageThreshold = 10 * time.Second
+	// outageClaimWait replaces claimWait during an outage of the store: claims are refused after one short attempt.
+	outageClaimWait = 500 * time.Millisecond
+	// minPollInterval is the first wait between polls for the outcome of a request in progress under the same key. It doubles
+	// up to maxPollInterval.
+	minPollInterval = 50 * time.Millisecond
+	// maxPollInterval is the longest wait between two such polls.
+	maxPollInterval = time.Second
+	// forwardTimeout bounds one call to a shard's home.
 	forwardTimeout = 2 * time.Second
 )
 
-// Key names a claim.
+// Key identifies a claim.
 type Key struct {
 	Organisation string
 	Service      string
 	Key          string
 }
 
-// place returns the claim's shard and its name in it.
-func (ky Key) place() (int, Hash) {
+// locate returns the claim's shard and its hash, which identifies it in the shard.
+func (ky Key) locate() (int, Hash) {
 	sum := sha256.Sum256([]byte(ky.Organisation + "\x00" + ky.Service + "\x00" + ky.Key))
-	return int(binary.BigEndian.Uint32(sum[16:]) % Shards), Hash(sum[:16])
+	return int(binary.BigEndian.Uint32(sum[16:]) % ShardCount), Hash(sum[:16])
 }
 
-// Claims records claims in the store.
+// Claims records claims of idempotency keys in the store.
 type Claims struct {
-	homes
+	homeTable
 	st      store.Store
 	name    string
-	workers [Shards]*worker
-	// sealAt is sealBytes but in tests.
+	workers [ShardCount]*worker
+	// sealAt is the length in bytes at which a segment is sealed: sealBytes, except in tests.
 	sealAt int
-	// retained is how long a record is kept, in nanoseconds.
-	retained atomic.Int64
-	// failing is when the store began to fail, in nanoseconds since 1970, 0 while it answers.
-	failing atomic.Int64
+	// retentionNanos is how long a record is kept, in nanoseconds.
+	retentionNanos atomic.Int64
+	// failingSince is when the store began to fail, in nanoseconds since 1970, 0 while it answers.
+	failingSince atomic.Int64
 }
 
-// New returns the claims of the named instance.
+// New returns the Claims of the named instance.
 func New(st store.Store, name string) *Claims {
 	cs := &Claims{st: st, name: name, sealAt: sealBytes}
-	cs.retained.Store(int64(decl.DefaultMaxDeadline + ResendWindow))
+	cs.retentionNanos.Store(int64(decl.DefaultMaxDeadline + ResendWindow))
 	for shard := range cs.workers {
 		cs.workers[shard] = newWorker(cs, shard)
 	}
 	return cs
 }
 
-// Run writes claims until the context ends.
+// Run writes claims to the store until the context ends.
 func (cs *Claims) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, wk := range cs.workers {
@@ -85,58 +90,58 @@
 	return group.Wait()
 }
 
-// Configure takes the retention from the longest deadline that the configuration allows.
+// Configure sets the retention time from the longest deadline that the configuration allows.
 func (cs *Claims) Configure(cfg *decl.Config) {
 	longest := time.Duration(decl.DefaultMaxDeadline)
 	for _, svc := range cfg.Services {
 		longest = max(longest, svc.WithDefaults().MaxDeadline.Std())
 	}
-	cs.retained.Store(int64(longest + ResendWindow))
+	cs.retentionNanos.Store(int64(longest + ResendWindow))
 }
 
 func (cs *Claims) retention() time.Duration {
-	return time.Duration(cs.retained.Load())
+	return time.Duration(cs.retentionNanos.Load())
 }
 
-// heard notes whether the store answers.
-func (cs *Claims) heard(err error) {
-	if err == nil || !unanswered(err) {
-		cs.failing.Store(0)
+// recordStoreResult updates failingSince. Any error but store.Unavailable counts as an answer of the store.
+func (cs *Claims) recordStoreResult(err error) {
+	if err == nil || !isUnavailable(err) {
+		cs.failingSince.Store(0)
 		return
 	}
-	cs.failing.CompareAndSwap(0, time.Now().UnixNano())
+	cs.failingSince.CompareAndSwap(0, time.Now().UnixNano())
 }
 
-// Failing reports whether the store gave no answer to the last write or read of claims.
+// Failing reports whether the store did not answer the last write or read of claims.
 func (cs *Claims) Failing() bool {
-	return cs.failing.Load() != 0
+	return cs.failingSince.Load() != 0
 }
 
-func (cs *Claims) patience() time.Duration {
-	since := cs.failing.Load()
-	if since != 0 && time.Since(time.Unix(0, since)) > outageAfter {
-		return outagePatience
+func (cs *Claims) claimWait() time.Duration {
+	since := cs.failingSince.Load()
+	if since != 0 && time.Since(time.Unix(0, since)) > outageThreshold {
+		return outageClaimWait
 	}
-	return patience
+	return claimWait
 }
 
-// Claim records the key, trying again for the patience or until the context ends. The nonce must be unique to the
-// request. After ClaimUnavailable the claim is not recorded or will be taken away: whoever asked must not run the
-// request, and a resend finds the key free at the latest when the store answers again.
+// Claim records the key, retrying for the time of claimWait or until the context ends. The nonce must be unique to the
+// request. After ClaimUnavailable the claim is not recorded or will be released: the caller must not run the request, and
+// a resend finds the key free at the latest when the store answers again.
 func (cs *Claims) Claim(ctx context.Context, ky Key, digest event.Digest, nonce string) (event.ClaimResult, event.Outcome) {
-	ends, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok {
-		ends = time.Now().Add(decl.DefaultMaxDeadline)
+		deadline = time.Now().Add(decl.DefaultMaxDeadline)
 	}
-	// A claim won in the last quarter of its request's time would only be a run that ends too late.
-	ctx, cancel := context.WithTimeout(ctx, time.Until(ends)*3/4)
+	// A claim won in the last quarter of the request's time would only start a run that ends too late.
+	ctx, cancel := context.WithTimeout(ctx, time.Until(deadline)*3/4)
 	defer cancel()
-	shard, hash := ky.place()
-	op := claimOp{hash: hash, digest: [digestBytes]byte(digest[:digestBytes]), nonce: cs.name + "/" + nonce, ends: ends}
+	shard, hash := ky.locate()
+	op := claimOp{hash: hash, digest: [digestBytes]byte(digest[:digestBytes]), nonce: cs.name + "/" + nonce, deadline: deadline}
 	res := cs.claimOnce(ctx, shard, op)
-	// A resend often meets the first request before its end is recorded; it waits for that end.
-	for look := firstLook; res.underWay(); look = min(2*look, maxLook) {
-		delay.For(ctx, look)
+	// A resend often arrives before the outcome of the first request is recorded, so it polls for that outcome.
+	for interval := minPollInterval; res.inProgress(); interval = min(2*interval, maxPollInterval) {
+		delay.For(ctx, interval)
 		if ctx.Err() != nil {
 			break
 		}
@@ -149,17 +154,17 @@
 	return res.result, res.out
 }
 
-// underWay tells that the key belongs to a request that may be running.
-func (res claimed) underWay() bool {
+// inProgress reports whether the key is claimed by a request that may still be running.
+func (res claimResult) inProgress() bool {
 	return res.result == event.ClaimRepeated && res.out.Running && !res.out.Known
 }
 
-// claimOnce records the claim through the shard's home or by this instance's own writes, and takes it back if it is
-// not clear that it is recorded.
-func (cs *Claims) claimOnce(ctx context.Context, shard int, op claimOp) claimed {
-	ctx, cancel := context.WithTimeout(ctx, cs.patience())
+// claimOnce records the claim through the shard's home or by this instance's own writes. It releases the claim if it is
+// not certain that it is recorded.
+func (cs *Claims) claimOnce(ctx context.Context, shard int, op claimOp) claimResult {
+	ctx, cancel := context.WithTimeout(ctx, cs.claimWait())
 	defer cancel()
-	op.given = make(chan claimed, 1)
+	op.reply = make(chan claimResult, 1)
 	if res, ok := cs.forwardClaim(ctx, shard, &op); ok {
 		return res
 	}
@@ -170,27 +175,27 @@
 	return res
 }
 
-// claimHere records the claim by this instance's own writes.
-func (cs *Claims) claimHere(ctx context.Context, shard int, op *claimOp) claimed {
+// claimHere records the claim by this instance's own writes, not through the shard's home.
+func (cs *Claims) claimHere(ctx context.Context, shard int, op *claimOp) claimResult {
 	cs.workers[shard].addClaim(op)
 	select {
-	case res := <-op.given:
+	case res := <-op.reply:
 		if ctx.Err() == nil {
 			return res
 		}
-		// A claimant that was paused must not act on an answer that came after its time: what it claimed may have been
-		// pruned since.
-		return claimed{result: event.ClaimUnavailable}
+		// A claimant that was paused must not act on a result that it reads after its time: the record of its claim may
+		// have been pruned since.
+		return claimResult{result: event.ClaimUnavailable}
 	case <-ctx.Done():
-		cs.workers[shard].drop(op)
-		return claimed{result: event.ClaimUnavailable}
+		cs.workers[shard].cancelClaim(op)
+		return claimResult{result: event.ClaimUnavailable}
 	}
 }
 
-// Settle records the outcome of a claim, or removes the claim if release is set, trying until the context ends; what
-// is not recorded then is tried on in the background.
+// Settle records the outcome of a claim, or removes the claim if release is set. It returns when that is recorded or the
+// context ends; what is not recorded by then is retried in the background.
 func (cs *Claims) Settle(ctx context.Context, ky Key, nonce string, out event.Outcome, release bool) error {
-	shard, hash := ky.place()
+	shard, hash := ky.locate()
 	op := &settleOp{hash: hash, nonce: cs.name + "/" + nonce, out: out, release: release, done: make(chan struct{})}
 	if cs.forwardSettle(ctx, shard, op) {
 		return nil
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -21,41 +21,41 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// flaky is a store whose writes may land late, long after their caller was told that there is no answer.
-type flaky struct {
+// flakyStore is a store whose writes may take effect long after their caller got store.Unavailable.
+type flakyStore struct {
 	store.Store
 	mu     sync.Mutex
 	random *rand.Rand
-	// late is the share of writes that land up to maxLate after their caller gave up.
+	// late is the share of writes that take effect only minDelay to minDelay+maxWriteDelay later.
 	late float64
-	// least is the shortest time that a late write takes.
-	least time.Duration
-	// cut ends every call without effect.
+	// minDelay is the minimum delay of a late write.
+	minDelay time.Duration
+	// cut makes all Get and Swap calls fail without effect.
 	cut bool
 }
 
-const maxLate = 20 * time.Second
+const maxWriteDelay = 20 * time.Second
 
-func (fk *flaky) draw() (late, cut bool, after time.Duration) {
+func (fk *flakyStore) draw() (late, cut bool, after time.Duration) {
 	fk.mu.Lock()
 	defer fk.mu.Unlock()
-	return fk.random.Float64() < fk.late, fk.cut, fk.least + time.Duration(fk.random.Int64N(int64(maxLate)))
+	return fk.random.Float64() < fk.late, fk.cut, fk.minDelay + time.Duration(fk.random.Int64N(int64(maxWriteDelay)))
 }
 
-func (fk *flaky) set(late float64, cut bool) {
+func (fk *flakyStore) set(late float64, cut bool) {
 	fk.mu.Lock()
 	defer fk.mu.Unlock()
 	fk.late, fk.cut = late, cut
 }
 
-func (fk *flaky) Get(ctx context.Context, key string) (store.Pair, error) {
+func (fk *flakyStore) Get(ctx context.Context, key string) (store.Pair, error) {
 	if _, cut, _ := fk.draw(); cut {
 		return store.Pair{}, store.Unavailable.New("cut off")
 	}
 	return fk.Store.Get(ctx, key)
 }
 
-func (fk *flaky) Swap(ctx context.Context, key string, value []byte, revision int64, lease store.LeaseID) (store.Pair, error) {
+func (fk *flakyStore) Swap(ctx context.Context, key string, value []byte, revision int64, lease store.LeaseID) (store.Pair, error) {
 	late, cut, after := fk.draw()
 	if cut {
 		return store.Pair{}, store.Unavailable.New("cut off")
@@ -67,63 +67,63 @@
 	return fk.Store.Swap(ctx, key, value, revision, lease)
 }
 
-// world is a few instances over one service, and what they ran.
-type world struct {
+// cluster is a few instances that share one key-value service, with a record of the requests that they ran.
+type cluster struct {
 	ctx       context.Context
 	kv        *stand.KV
 	instances []*instance
 	mu        sync.Mutex
-	// runs counts the runs by key; refused holds the requests that were told "not run".
+	// runs counts the runs by key.
 	runs     map[string]int
 	problems []string
 	random   *rand.Rand
-	// sealAt is the length at which segments are sealed.
+	// sealAt is the length in bytes at which segments are sealed.
 	sealAt int
-	// silent loses messages between instances, before or after they were acted upon.
-	silent float64
+	// messageLoss is the share of requests between instances that are lost, and likewise of responses.
+	messageLoss float64
 }
 
 type instance struct {
-	wd   *world
+	cl   *cluster
 	name string
-	st   *flaky
-	// current is replaced when the instance crashes.
+	st   *flakyStore
+	// current is replaced when the instance crashes and restarts.
 	current atomic.Pointer[once.Claims]
 	stop    context.CancelFunc
 	next    atomic.Int64
 }
 
-func newWorld(t *testing.T, count int, seed uint64) *world {
-	return newWorldSealedAt(t, count, seed, 64<<10)
+func newCluster(t *testing.T, count int, seed uint64) *cluster {
+	return newClusterSealedAt(t, count, seed, 64<<10)
 }
 
-func newWorldSealedAt(t *testing.T, count int, seed uint64, sealAt int) *world {
-	wd := &world{sealAt: sealAt, kv: stand.NewKV(stand.Rates{}), runs: map[string]int{}, random: rand.New(rand.NewPCG(seed, 1))}
+func newClusterSealedAt(t *testing.T, count int, seed uint64, sealAt int) *cluster {
+	cl := &cluster{sealAt: sealAt, kv: stand.NewKV(stand.Rates{}), runs: map[string]int{}, random: rand.New(rand.NewPCG(seed, 1))}
 	var stop context.CancelFunc
-	wd.ctx, stop = context.WithCancel(t.Context())
+	cl.ctx, stop = context.WithCancel(t.Context())
 	t.Cleanup(func() {
 		stop()
-		// Instances that stop still try to record what they know; time stands still after the test.
+		// Stopping instances still try to record outcomes, and the synthetic clock stands still after the test.
 		time.Sleep(5 * time.Second)
 	})
 	for i := range count {
-		wd.instances = append(wd.instances, &instance{wd: wd, name: fmt.Sprintf("entry-%d", i)})
+		cl.instances = append(cl.instances, &instance{cl: cl, name: fmt.Sprintf("entry-%d", i)})
 	}
-	for i, in := range wd.instances {
+	for i, in := range cl.instances {
 		in.start(seed + uint64(i))
 	}
-	return wd
+	return cl
 }
 
 func (in *instance) start(seed uint64) {
-	ctx, stop := context.WithCancel(in.wd.ctx)
-	in.st = &flaky{Store: stand.NewMemory(in.wd.kv), random: rand.New(rand.NewPCG(seed, 2))}
+	ctx, stop := context.WithCancel(in.cl.ctx)
+	in.st = &flakyStore{Store: stand.NewMemory(in.cl.kv), random: rand.New(rand.NewPCG(seed, 2))}
 	claims := once.New(in.st, in.name)
-	claims.Transport = in.wd
-	claims.SealAt(in.wd.sealAt)
+	claims.Transport = in.cl
+	claims.SealAt(in.cl.sealAt)
 	in.stop = stop
 	var members []event.Instance
-	for _, other := range in.wd.instances {
+	for _, other := range in.cl.instances {
 		members = append(members, event.Instance{Name: other.name, Peer: other.name})
 	}
 	claims.SetMembers(members)
@@ -131,27 +131,27 @@
 	go func() { _ = claims.Run(ctx) }()
 }
 
-// lost draws whether a message vanishes.
-func (wd *world) lost() bool {
-	wd.mu.Lock()
-	defer wd.mu.Unlock()
-	return wd.random.Float64() < wd.silent
+// dropMessage draws whether a message is lost.
+func (cl *cluster) dropMessage() bool {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.random.Float64() < cl.messageLoss
 }
 
-func (wd *world) setSilent(share float64) {
-	wd.mu.Lock()
-	defer wd.mu.Unlock()
-	wd.silent = share
+func (cl *cluster) setMessageLoss(share float64) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.messageLoss = share
 }
 
 // Ask implements peers.Transport.
-func (wd *world) Ask(ctx context.Context, address string, msg wire.Message) (wire.Message, error) {
-	for _, in := range wd.instances {
-		if in.name != address || wd.lost() {
+func (cl *cluster) Ask(ctx context.Context, address string, msg wire.Message) (wire.Message, error) {
+	for _, in := range cl.instances {
+		if in.name != address || cl.dropMessage() {
 			continue
 		}
 		answer := in.current.Load().Handle(ctx, msg)
-		if wd.lost() {
+		if cl.dropMessage() {
 			break
 		}
 		return answer, nil
@@ -160,42 +160,42 @@
 }
 
 // Tell implements peers.Transport.
-func (wd *world) Tell(string, wire.Message) {}
+func (cl *cluster) Tell(string, wire.Message) {}
 
-// send is one request under the key, as an instance takes it: claimed, then run and recorded, or given up.
+// send simulates one request under the key: the instance claims it, then runs it and records its outcome, or releases it.
 func (in *instance) send(key string, giveUp bool) event.ClaimResult {
 	ky := once.Key{Organisation: "o", Service: "s", Key: key}
 	claims := in.current.Load()
 	nonce := fmt.Sprintf("%p-%d", claims, in.next.Add(1))
-	ctx, cancel := context.WithTimeout(in.wd.ctx, 30*time.Second)
+	ctx, cancel := context.WithTimeout(in.cl.ctx, 30*time.Second)
 	defer cancel()
 	result, _ := claims.Claim(ctx, ky, event.Digest{1}, nonce)
 	if result != event.ClaimWon {
 		return result
 	}
-	// Requests wait for an upstream between their claim and their end.
+	// Between its claim and its end, a request waits for an upstream.
 	time.Sleep(time.Second)
 	if giveUp {
-		go func() { _ = claims.Settle(in.wd.ctx, ky, nonce, event.Outcome{}, true) }()
+		go func() { _ = claims.Settle(in.cl.ctx, ky, nonce, event.Outcome{}, true) }()
 		return event.ClaimUnavailable
 	}
-	in.wd.ran(key)
+	in.cl.recordRun(key)
 	go func() {
-		_ = claims.Settle(in.wd.ctx, ky, nonce, event.Outcome{Known: true, Status: 200}, false)
+		_ = claims.Settle(in.cl.ctx, ky, nonce, event.Outcome{Known: true, Status: 200}, false)
 	}()
 	return result
 }
 
-func (wd *world) ran(key string) {
-	wd.mu.Lock()
-	defer wd.mu.Unlock()
-	wd.runs[key]++
-	if wd.runs[key] > 1 {
-		wd.problems = append(wd.problems, key+" ran twice")
+func (cl *cluster) recordRun(key string) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.runs[key]++
+	if cl.runs[key] > 1 {
+		cl.problems = append(cl.problems, key+" ran twice")
 	}
 }
 
-// step is one thing that happens in a world.
+// step is one event in a generated scenario.
 type step struct {
 	Kind     string
 	Instance int
@@ -204,7 +204,7 @@
 	Pause    time.Duration
 }
 
-func steps(t *rapid.T, instances int) []step {
+func drawSteps(t *rapid.T, instances int) []step {
 	kinds := []string{"send", "send", "send", "send", "send", "send", "late", "lost", "cut", "crash", "outage", "silence", "sound"}
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
 		return step{
@@ -217,8 +217,8 @@
 	}), 5, 40).Draw(t, "steps")
 }
 
-func (wd *world) do(st step) {
-	in := wd.instances[st.Instance]
+func (cl *cluster) applyStep(st step) {
+	in := cl.instances[st.Instance]
 	switch st.Kind {
 	case "send":
 		go in.send(fmt.Sprintf("k%d", st.Key), st.GiveUp)
@@ -227,41 +227,41 @@
 	case "cut":
 		in.st.set(0, true)
 	case "lost":
-		wd.kv.SetFaults(stand.Faults{LostAnswers: 0.5})
+		cl.kv.SetFaults(stand.Faults{LostAnswers: 0.5})
 	case "outage":
-		wd.kv.SetFaults(stand.Faults{Outage: true})
+		cl.kv.SetFaults(stand.Faults{Outage: true})
 	case "crash":
 		in.stop()
 		in.start(uint64(st.Key))
 	case "silence":
-		wd.setSilent(0.5)
+		cl.setMessageLoss(0.5)
 	case "sound":
-		wd.kv.SetFaults(stand.Faults{})
-		wd.setSilent(0)
+		cl.kv.SetFaults(stand.Faults{})
+		cl.setMessageLoss(0)
 		in.st.set(0, false)
 	}
 	time.Sleep(st.Pause)
 }
 
-func TestNoKeyRunsTwice(t *testing.T) {
-	// Callers send the same keys to three instances, again and again, while writes land late, answers are lost,
-	// instances are cut off or replaced and messages between them vanish.
-	// A key may run once; a claim that was given up frees it, and a resend then runs, but never beside the first. When
-	// all is sound again and no claimant died, a key that never ran can be run.
+func TestKeyRunsAtMostOnceUnderFaults(t *testing.T) {
+	// Callers repeatedly send the same keys to three instances while writes take effect late, responses are lost,
+	// instances cannot write to the store or crash, and messages between them are lost.
+	// A key must run at most once. A released claim frees its key, so that a resend can run, but never in addition
+	// to the first request. After all faults are over, a key that never ran must be able to run unless a claimant crashed.
 	rapid.Check(t, func(rt *rapid.T) {
-		script := steps(rt, 3)
+		script := drawSteps(rt, 3)
 		seed := rapid.Uint64().Draw(rt, "seed")
 		var problems []string
 		synctest.Test(t, func(t *testing.T) {
-			// Every second or third claim begins a new segment.
-			wd := newWorldSealedAt(t, 3, seed, 200)
+			// The length is so small that every second or third claim starts a new segment.
+			cl := newClusterSealedAt(t, 3, seed, 200)
 			crashed := false
 			for _, st := range script {
-				wd.do(st)
+				cl.applyStep(st)
 				crashed = crashed || st.Kind == "crash"
 			}
-			wd.recover(crashed)
-			problems = wd.problems
+			cl.recover(crashed)
+			problems = cl.problems
 		})
 		if len(problems) > 0 {
 			rt.Fatalf("%v", problems)
@@ -269,134 +269,134 @@
 	})
 }
 
-// recover makes all sound and sends every key once more through each instance.
-func (wd *world) recover(crashed bool) {
-	for i := range wd.instances {
-		wd.do(step{Kind: "sound", Instance: i})
+// recover ends all faults and sends every key once more through each instance.
+func (cl *cluster) recover(crashed bool) {
+	for i := range cl.instances {
+		cl.applyStep(step{Kind: "sound", Instance: i})
 	}
 	time.Sleep(time.Minute)
 	for key := range 2 {
 		name := fmt.Sprintf("k%d", key)
-		for _, in := range wd.instances {
+		for _, in := range cl.instances {
 			in.send(name, false)
 			time.Sleep(time.Second)
 		}
-		if wd.runs[name] == 0 && !crashed {
-			wd.problems = append(wd.problems, name+" can never run")
+		if cl.runs[name] == 0 && !crashed {
+			cl.problems = append(cl.problems, name+" can never run")
 		}
 	}
 }
 
-func TestRefusedClaimFreesItsKey(t *testing.T) {
-	// The writes of a redemption's claim land only after its caller was told "not run", one after the other.
-	// None of them may leave a record behind: when the store answers again the resend has to run, once, and a further
-	// one gets the recorded outcome.
+func TestUnavailableClaimFreesItsKey(t *testing.T) {
+	// All writes of a claim take effect only after its caller got "not run", one after the other.
+	// None of them may leave a record behind: when the store answers again, the resend must run once, and a further
+	// resend must get the recorded outcome.
 	synctest.Test(t, func(t *testing.T) {
-		wd := newWorld(t, 1, 1)
-		in := wd.instances[0]
-		in.st.least = 15 * time.Second
+		cl := newCluster(t, 1, 1)
+		in := cl.instances[0]
+		in.st.minDelay = 15 * time.Second
 		in.st.set(1, false)
 		began := time.Now()
 		assert.Equal(t, in.send("k", false), event.ClaimUnavailable)
 		assert.Assert(t, time.Since(began) < 15*time.Second)
 		in.st.set(0, false)
-		time.Sleep(in.st.least + maxLate)
+		time.Sleep(in.st.minDelay + maxWriteDelay)
 		assert.Equal(t, in.send("k", false), event.ClaimWon)
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, in.send("k", false), event.ClaimRepeated)
-		assert.Equal(t, wd.runs["k"], 1)
+		assert.Equal(t, cl.runs["k"], 1)
 	})
 }
 
-func TestLongOutageIsRefusedAtOnce(t *testing.T) {
-	// The store is down for minutes. The first redemption waits for it; later ones are not held back for the same
-	// long wait but hear at once that they were not run, and the first after the outage runs. What waits to be released
-	// asks the store once in four seconds a shard, so that an outage is not made longer by everyone's calls.
+func TestClaimsFailFastDuringLongOutage(t *testing.T) {
+	// The store is down for minutes. The first claim waits for it. Later ones must not wait as long but fail at once
+	// with "not run", and the first request after the outage must run. Queued releases may call the store only once in
+	// four seconds per shard, or the calls of all instances would prolong the outage.
 	synctest.Test(t, func(t *testing.T) {
-		wd := newWorld(t, 1, 1)
-		in := wd.instances[0]
-		wd.kv.SetFaults(stand.Faults{Outage: true})
+		cl := newCluster(t, 1, 1)
+		in := cl.instances[0]
+		cl.kv.SetFaults(stand.Faults{Outage: true})
 		for i := range 3 {
 			assert.Equal(t, in.send(fmt.Sprintf("k%d", i), false), event.ClaimUnavailable)
 		}
 		began := time.Now()
 		assert.Equal(t, in.send("late", false), event.ClaimUnavailable)
 		assert.Assert(t, time.Since(began) <= time.Second)
-		before := wd.kv.Calls().Kinds["Range"]
+		before := cl.kv.Calls().Kinds["Range"]
 		time.Sleep(time.Minute)
-		calls := wd.kv.Calls().Kinds["Range"] - before
+		calls := cl.kv.Calls().Kinds["Range"] - before
 		assert.Assert(t, calls <= 4*60/4+8, "%d calls in a minute", calls)
-		wd.kv.SetFaults(stand.Faults{})
+		cl.kv.SetFaults(stand.Faults{})
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, in.send("late", false), event.ClaimWon)
 	})
 }
 
-func TestResendWaitsForTheFirstEnd(t *testing.T) {
-	// A caller's connection breaks while its update runs, and it sends it again through another instance.
-	// The resend waits and gets the recorded outcome of the first run, for a few reads of the store. One whose first
-	// run takes longer than its own time hears that it is under way.
+func TestResendWaitsForRecordedOutcome(t *testing.T) {
+	// A caller loses its connection while its request runs, and resends the request through another instance.
+	// The resend must wait for the recorded outcome of the first run, at the cost of a few reads of the store. If the first
+	// run takes longer than the resend has time, the resend must get "running".
 	cases := map[string]struct {
 		lasts time.Duration
 		known bool
 	}{
-		"soon over":  {3 * time.Second, true},
-		"takes long": {time.Minute, false},
+		"first run ends in time": {3 * time.Second, true},
+		"first run takes longer": {time.Minute, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				wd := newWorld(t, 2, 1)
+				cl := newCluster(t, 2, 1)
 				ky := once.Key{Organisation: "o", Service: "s", Key: "k"}
-				long, cancel := context.WithTimeout(wd.ctx, 10*time.Minute)
+				long, cancel := context.WithTimeout(cl.ctx, 10*time.Minute)
 				defer cancel()
-				result, _ := wd.instances[0].current.Load().Claim(long, ky, event.Digest{1}, "first")
+				result, _ := cl.instances[0].current.Load().Claim(long, ky, event.Digest{1}, "first")
 				assert.Equal(t, result, event.ClaimWon)
 				time.AfterFunc(tc.lasts, func() {
-					_ = wd.instances[0].current.Load().Settle(wd.ctx, ky, "first", event.Outcome{Known: true, Status: 200}, false)
+					_ = cl.instances[0].current.Load().Settle(cl.ctx, ky, "first", event.Outcome{Known: true, Status: 200}, false)
 				})
-				before := wd.kv.Calls().Kinds["Range"]
-				short, cancel := context.WithTimeout(wd.ctx, 20*time.Second)
+				before := cl.kv.Calls().Kinds["Range"]
+				short, cancel := context.WithTimeout(cl.ctx, 20*time.Second)
 				defer cancel()
-				result, out := wd.instances[1].current.Load().Claim(short, ky, event.Digest{1}, "resend")
+				result, out := cl.instances[1].current.Load().Claim(short, ky, event.Digest{1}, "resend")
 				assert.Equal(t, result, event.ClaimRepeated)
 				assert.Equal(t, out.Known, tc.known)
 				assert.Equal(t, out.Running, !tc.known)
-				reads := wd.kv.Calls().Kinds["Range"] - before
+				reads := cl.kv.Calls().Kinds["Range"] - before
 				assert.Assert(t, reads <= 25, "%d reads", reads)
 			})
 		})
 	}
 }
 
-func TestAnotherContentUnderTheKey(t *testing.T) {
+func TestDifferentRequestUnderSameKeyConflicts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wd := newWorld(t, 2, 1)
+		cl := newCluster(t, 2, 1)
 		ky := once.Key{Organisation: "o", Service: "s", Key: "k"}
-		result, _ := wd.instances[0].current.Load().Claim(t.Context(), ky, event.Digest{1}, "a")
+		result, _ := cl.instances[0].current.Load().Claim(t.Context(), ky, event.Digest{1}, "a")
 		assert.Equal(t, result, event.ClaimWon)
-		result, _ = wd.instances[1].current.Load().Claim(t.Context(), ky, event.Digest{2}, "b")
+		result, _ = cl.instances[1].current.Load().Claim(t.Context(), ky, event.Digest{2}, "b")
 		assert.Equal(t, result, event.ClaimConflict)
 	})
 }
 
-func TestWritesStayUnderTheBudget(t *testing.T) {
-	// Thirty instances take 600 claims a second, more than the platform's writes. The homes put many claims into one
-	// write, so the store is asked at most 256 times a second, outcomes included, and no claim is refused.
+func TestClaimWritesStayWithinStoreRate(t *testing.T) {
+	// Thirty instances make 600 claims per second, more than the platform allows writes. The homes must batch the claims, so
+	// that there are at most 256 writes per second, outcomes included, and no claim is refused.
 	synctest.Test(t, func(t *testing.T) {
-		wd := newWorld(t, 30, 1)
+		cl := newCluster(t, 30, 1)
 		const seconds = 10
 		var group sync.WaitGroup
 		for i := range 600 * seconds {
 			group.Go(func() {
-				assert.Check(t, wd.instances[i%30].send(fmt.Sprintf("k%d", i), false) == event.ClaimWon)
+				assert.Check(t, cl.instances[i%30].send(fmt.Sprintf("k%d", i), false) == event.ClaimWon)
 			})
 			if i%30 == 0 {
 				time.Sleep(50 * time.Millisecond)
 			}
 		}
 		group.Wait()
-		writes := wd.kv.Calls().Kinds["Txn"]
+		writes := cl.kv.Calls().Kinds["Txn"]
 		assert.Assert(t, writes <= 256*(seconds+2), "%d writes", writes)
 	})
 }
--- a/internal/once/segment.go
+++ b/internal/once/segment.go
@@ -11,50 +11,52 @@
 )
 
 const (
-	// sealBytes is the length at which a segment takes no more claims. Each write carries one segment, so it bounds
-	// what a write costs the platform.
+	// sealBytes is the length at which a segment is sealed, so that it takes no more claims. Each write carries a whole
+	// segment, so this bounds what a write costs the platform.
 	sealBytes = 64 << 10
-	// maxSegment is the length over which outcomes are recorded without their answers: many requests may be under way
-	// when their segment is sealed, and it has to stay below what the platform holds in one value.
-	maxSegment = 512 << 10
-	// recordBytes is about what a record takes beside its answer.
-	recordBytes = 90
-	// digestBytes of a request's digest are kept; 16 bytes are enough to tell two requests apart.
+	// maxSegmentBytes is the length above which outcomes are recorded without their response bodies. Many requests may be in
+	// progress when their segment is sealed, and with all their outcomes it has to fit into one value of the platform.
+	maxSegmentBytes = 512 << 10
+	// recordOverheadBytes is the approximate length of a record without its response body.
+	recordOverheadBytes = 90
+	// digestBytes is how much of a request's digest is stored. 16 bytes are enough to distinguish two requests.
 	digestBytes = 16
 )
 
 var (
-	// Errors groups what this package returns.
+	// Errors is the namespace of this package's errors.
 	Errors = errorx.NewNamespace("once")
-	// Corrupt tells that a segment was not written by this package.
+	// Corrupt reports a key or value that this package did not write.
 	Corrupt = Errors.NewType("corrupt")
 )
 
-// Hash names a claim within its shard.
+// Hash identifies a claim within its shard.
 type Hash [16]byte
 
-// Record is one stored claim. Times are seconds since 1970 by the clock of whoever claimed it.
+// Record is one stored claim. Its times are seconds since 1970 by the clock of the instance that recorded it. The fields
+// are encoded by position, so their order must not change.
 type Record struct {
 	_      struct{} `cbor:",toarray"`
 	Digest [digestBytes]byte
-	// Nonce is the claimant's own, by which it knows its write after a lost answer. No two claims share one.
+	// Nonce is unique to the claim. By it a claimant recognises its own write after a lost response.
 	Nonce string
-	At    int64
-	// Ends is when the run must have ended; after it a record without outcome means that the outcome is unknown.
-	Ends int64
-	// Status is the upstream's, 0 while there is none.
+	// ClaimedAt is when the claim was recorded.
+	ClaimedAt int64
+	// Deadline is when the run must have ended. After it, a record without outcome means that the outcome is unknown.
+	Deadline int64
+	// Status is the HTTP status of the upstream's response, 0 while none is known.
 	Status      int
 	ContentType string
 	Body        []byte
 	Truncated   bool
-	// Settled tells that the run has ended, with Status 0 if nobody knows how.
+	// Settled reports that the run has ended, with Status 0 if its outcome is unknown.
 	Settled bool
 }
 
 func (rc Record) outcome(now time.Time) event.Outcome {
 	return event.Outcome{
 		Known:       rc.Status != 0,
-		Running:     !rc.Settled && now.Unix() <= rc.Ends,
+		Running:     !rc.Settled && now.Unix() <= rc.Deadline,
 		Status:      rc.Status,
 		Body:        rc.Body,
 		ContentType: rc.ContentType,
@@ -62,13 +64,13 @@
 	}
 }
 
-// Segment is one value of a shard.
+// Segment is one value in the store, which holds a part of a shard's claims.
 type Segment struct {
 	Records map[Hash]Record
-	// Abandoned holds the nonces of claims that their claimant gave up while a write of them might still land, with
-	// the time of it. Nobody records a claim under such a nonce any more.
+	// Abandoned holds the nonces of claims that were released while a write of them might still take effect, with the time
+	// of the release in seconds since 1970. No claim with such a nonce is recorded any more.
 	Abandoned map[string]int64
-	// Sealed segments take no more claims and nonces, for good. Outcomes and releases of their records still come.
+	// Sealed segments never take claims or nonces again. Outcomes and releases of their records are still written to them.
 	Sealed bool
 }
 
@@ -79,10 +81,10 @@
 func decodeSegment(raw []byte) (*Segment, error) {
 	seg := newSegment()
 	if err := cbor.Unmarshal(raw, seg); err != nil {
-		return nil, Corrupt.Wrap(err, "once: a segment does not decode; run the same release on all instances")
+		return nil, Corrupt.Wrap(err, "once: segment does not decode: run the same release on all instances")
 	}
 	if seg.Records == nil || seg.Abandoned == nil {
-		return nil, Corrupt.New("once: a segment lacks its records; find out who wrote below %s", Prefix)
+		return nil, Corrupt.New("once: segment lacks its records or nonces: find out what else writes keys below %s", Prefix)
 	}
 	return seg, nil
 }
@@ -91,21 +93,21 @@
 	return cbor.Marshal(seg)
 }
 
-// clone shares the bodies, which never change.
+// clone copies the records but shares the response bodies, which never change.
 func (seg *Segment) clone() *Segment {
 	return &Segment{Records: maps.Clone(seg.Records), Abandoned: maps.Clone(seg.Abandoned), Sealed: seg.Sealed}
 }
 
-// size is about the encoded length.
+// size returns the approximate encoded length in bytes.
 func (seg *Segment) size() int {
-	total := (len(seg.Records) + len(seg.Abandoned)) * recordBytes
+	total := (len(seg.Records) + len(seg.Abandoned)) * recordOverheadBytes
 	for _, rc := range seg.Records {
 		total += len(rc.Body)
 	}
 	return total
 }
 
-// settle records the end of a run, without its answer if the segment has no room for it.
+// settle records the end of a run, without the response body if the segment has no room for it.
 func (seg *Segment) settle(op *settleOp) {
 	rc := seg.Records[op.hash]
 	rc.Settled = true
@@ -115,17 +117,18 @@
 		rc.Body = op.out.Body
 		rc.Truncated = op.out.Truncated
 	}
-	if len(rc.Body) > 0 && seg.size()+len(rc.Body) > maxSegment {
+	if len(rc.Body) > 0 && seg.size()+len(rc.Body) > maxSegmentBytes {
 		rc.Body = nil
 		rc.Truncated = true
 	}
 	seg.Records[op.hash] = rc
 }
 
-// expired reports whether nobody can ask for any of the records any more.
+// expired reports whether all records and nonces are older than oldest, in seconds since 1970, so that no resend can refer
+// to them any more.
 func (seg *Segment) expired(oldest int64) bool {
 	for _, rc := range seg.Records {
-		if max(rc.At, rc.Ends) >= oldest {
+		if max(rc.ClaimedAt, rc.Deadline) >= oldest {
 			return false
 		}
 	}
--- a/internal/once/shard.go
+++ b/internal/once/shard.go
@@ -7,59 +7,61 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// maxSegments bounds a shard: a reader that is new to it reads them all.
+// maxSegments bounds the segments of a shard, because an instance that is new to a shard reads them all.
 const maxSegments = 48
 
-// part is one segment as it was read or written last.
-type part struct {
+// cachedSegment is a segment as last read from or written to the store.
+type cachedSegment struct {
+	// number is the segment's position in the shard, which is part of its key.
 	number int64
-	// revision is the store's, 0 for a segment that is not there yet.
+	// revision is the store's revision of the segment, 0 for one that is not stored yet.
 	revision int64
 	seg      *Segment
-	// dirty tells that seg is to be written.
+	// dirty reports that seg has changes to write.
 	dirty bool
 }
 
-// shard is all segments of one shard, by rising number. Only the last one takes claims; the others are sealed, so the
-// set of their claims is known for good once it was read, and a claim that is in none of them and is swapped into the
-// last one is the only one of its key.
-type shard struct{ parts []part }
+// shard is all segments of one shard, in ascending order of their numbers. Only the last one takes claims. The others are
+// sealed, so they gain no claims after they were read, and a claim that is in none of them and is swapped into the last
+// one is the only claim of its key.
+type shard struct{ segments []cachedSegment }
 
-// clone shares the segments; edit copies those that change.
+// clone shares the segments; writable copies those that change.
 func (sh *shard) clone() *shard {
-	return &shard{parts: slices.Clone(sh.parts)}
+	return &shard{segments: slices.Clone(sh.segments)}
 }
 
 func (sh *shard) last() int {
-	return len(sh.parts) - 1
+	return len(sh.segments) - 1
 }
 
-// open makes sure that the last segment takes claims.
-func (sh *shard) open() {
+// ensureOpen appends an empty segment unless the last one takes claims.
+func (sh *shard) ensureOpen() {
 	number := int64(0)
-	if len(sh.parts) > 0 {
-		last := sh.parts[sh.last()]
+	if len(sh.segments) > 0 {
+		last := sh.segments[sh.last()]
 		if !last.seg.Sealed {
 			return
 		}
 		number = last.number + 1
 	}
-	sh.parts = append(sh.parts, part{number: number, seg: newSegment()})
+	sh.segments = append(sh.segments, cachedSegment{number: number, seg: newSegment()})
 }
 
-func (sh *shard) edit(index int) *Segment {
-	pt := &sh.parts[index]
-	if !pt.dirty {
-		pt.seg = pt.seg.clone()
-		pt.dirty = true
+// writable returns the segment for changes, after copying it at the first one.
+func (sh *shard) writable(index int) *Segment {
+	sg := &sh.segments[index]
+	if !sg.dirty {
+		sg.seg = sg.seg.clone()
+		sg.dirty = true
 	}
-	return pt.seg
+	return sg.seg
 }
 
-// find returns the segment that has a claim of the key, -1 if none has.
+// find returns the index of the segment that has a claim of the key, -1 if none has.
 func (sh *shard) find(hash Hash) int {
-	for i := range sh.parts {
-		if _, ok := sh.parts[i].seg.Records[hash]; ok {
+	for i := range sh.segments {
+		if _, ok := sh.segments[i].seg.Records[hash]; ok {
 			return i
 		}
 	}
@@ -67,66 +69,67 @@
 }
 
 func (sh *shard) abandoned(nonce string) bool {
-	for i := range sh.parts {
-		if _, ok := sh.parts[i].seg.Abandoned[nonce]; ok {
+	for i := range sh.segments {
+		if _, ok := sh.segments[i].seg.Abandoned[nonce]; ok {
 			return true
 		}
 	}
 	return false
 }
 
-// claim records the key if it is free. The segment is the one where the key was found, -1 if nowhere.
-func (sh *shard) claim(op *claimOp, now time.Time) (res claimed, segment int) {
+// claim records the key if it is free. The returned segment is the index of the one where another request holds the key,
+// -1 if none does.
+func (sh *shard) claim(op *claimOp, now time.Time) (res claimResult, segment int) {
 	found := sh.find(op.hash)
 	if found >= 0 {
-		there := sh.parts[found].seg.Records[op.hash]
+		rec := sh.segments[found].seg.Records[op.hash]
 		switch {
-		case there.Nonce == op.nonce:
-			return claimed{result: event.ClaimWon}, -1
-		case there.Digest != op.digest:
-			return claimed{result: event.ClaimConflict}, found
+		case rec.Nonce == op.nonce:
+			return claimResult{result: event.ClaimWon}, -1
+		case rec.Digest != op.digest:
+			return claimResult{result: event.ClaimConflict}, found
 		}
-		return claimed{result: event.ClaimRepeated, out: there.outcome(now)}, found
+		return claimResult{result: event.ClaimRepeated, out: rec.outcome(now)}, found
 	}
-	if sh.abandoned(op.nonce) || len(sh.parts) > maxSegments {
-		return claimed{result: event.ClaimUnavailable}, -1
+	if sh.abandoned(op.nonce) || len(sh.segments) > maxSegments {
+		return claimResult{result: event.ClaimUnavailable}, -1
 	}
-	sh.edit(sh.last()).Records[op.hash] = Record{Digest: op.digest, Nonce: op.nonce, At: now.Unix(), Ends: op.ends.Unix()}
-	return claimed{result: event.ClaimWon}, -1
+	sh.writable(sh.last()).Records[op.hash] = Record{Digest: op.digest, Nonce: op.nonce, ClaimedAt: now.Unix(), Deadline: op.deadline.Unix()}
+	return claimResult{result: event.ClaimWon}, -1
 }
 
-// settle records the end of a run, or takes the claim away if it certainly was not run.
+// settle records the end of a run, or removes the claim if the request certainly was not run.
 func (sh *shard) settle(op *settleOp, now time.Time) {
 	found := sh.find(op.hash)
-	own := found >= 0 && sh.parts[found].seg.Records[op.hash].Nonce == op.nonce
+	own := found >= 0 && sh.segments[found].seg.Records[op.hash].Nonce == op.nonce
 	if op.release && !sh.abandoned(op.nonce) {
-		// Another write of the claim may be on its way, by this instance or by the shard's home. It cannot land any
-		// more: one made before this write fails at the swap, one made after it finds the nonce.
-		sh.edit(sh.last()).Abandoned[op.nonce] = now.Unix()
+		// Another write of the claim may be in flight, from this instance or from the shard's home. The nonce keeps it from
+		// taking effect: a write prepared before this one fails at the swap, a later one finds the nonce.
+		sh.writable(sh.last()).Abandoned[op.nonce] = now.Unix()
 	}
 	switch {
 	case op.release && own:
-		delete(sh.edit(found).Records, op.hash)
+		delete(sh.writable(found).Records, op.hash)
 	case own:
-		sh.edit(found).settle(op)
+		sh.writable(found).settle(op)
 	}
 }
 
-// seal ends the last segment if it has the length.
+// seal seals the last segment if it changed and has reached the length in bytes.
 func (sh *shard) seal(length int) {
-	last := sh.parts[sh.last()]
+	last := sh.segments[sh.last()]
 	if last.dirty && last.seg.size() >= length {
 		last.seg.Sealed = true
 	}
 }
 
-// prune forgets the segments of which nobody can ask anything any more and returns them.
-func (sh *shard) prune(now time.Time, retention time.Duration) []part {
+// prune removes the expired segments at the start of the shard and returns them. It always leaves the last segment.
+func (sh *shard) prune(now time.Time, retention time.Duration) []cachedSegment {
 	oldest := now.Add(-retention).Unix()
-	var gone []part
-	for len(sh.parts) > 1 && sh.parts[0].seg.expired(oldest) {
-		gone = append(gone, sh.parts[0])
-		sh.parts = sh.parts[1:]
+	var pruned []cachedSegment
+	for len(sh.segments) > 1 && sh.segments[0].seg.expired(oldest) {
+		pruned = append(pruned, sh.segments[0])
+		sh.segments = sh.segments[1:]
 	}
-	return gone
+	return pruned
 }
--- a/internal/once/worker.go
+++ b/internal/once/worker.go
@@ -17,69 +17,74 @@
 )
 
 const (
-	// writePause is the least time between two writes of one shard by one instance. With Shards of them at one home
-	// each, the whole fleet writes at most 256 times a second, however many claims there are.
-	writePause = 250 * time.Millisecond
-	// settlePause is how long outcomes wait for a claim to share a write with.
-	settlePause = time.Second
-	// restPause is the wait of outcomes and releases after the store failed; it doubles up to maxRest. Without it every
-	// instance would call for each of its shards many times a second, and keep a store down that limps.
-	restPause = 250 * time.Millisecond
-	maxRest   = 4 * time.Second
+	// minWriteInterval is the minimum time between two writes of one shard by one instance. With ShardCount shards and one
+	// home for each, the whole fleet writes at most 256 times per second, however many claims there are.
+	minWriteInterval = 250 * time.Millisecond
+	// settleDelay is how long outcomes wait for a claim to share a write with.
+	settleDelay = time.Second
+	// minBackoff is the first delay of outcomes and releases after the store failed; it doubles up to maxBackoff. Without it,
+	// every instance would call the store many times per second for each of its shards, and keep an impaired store down.
+	minBackoff = 250 * time.Millisecond
+	// maxBackoff is the longest delay of outcomes and releases while the store fails.
+	maxBackoff = 4 * time.Second
 )
 
-// claimOp asks for a claim.
+// claimOp is a queued claim.
 type claimOp struct {
-	hash   Hash
-	digest [digestBytes]byte
-	nonce  string
-	ends   time.Time
-	// given is told the result once; it has room for it.
-	given chan claimed
-	// dropped tells that nobody waits for the result any more.
-	dropped bool
+	hash     Hash
+	digest   [digestBytes]byte
+	nonce    string
+	deadline time.Time
+	// reply receives the result once. It is buffered, so that the send never blocks.
+	reply chan claimResult
+	// cancelled reports that nobody waits for the result any more.
+	cancelled bool
 }
 
-type claimed struct {
+// claimResult is the result of a claim, with the recorded outcome if the key was claimed before.
+type claimResult struct {
 	result event.ClaimResult
 	out    event.Outcome
 }
 
-// settleOp records the end of a claimed run.
+// settleOp is a queued outcome or release of a claim.
 type settleOp struct {
 	hash    Hash
 	nonce   string
 	out     event.Outcome
 	release bool
-	// done is closed when it is recorded.
+	// done is closed when the operation is recorded.
 	done chan struct{}
 }
 
-// worker writes one shard. Whatever comes while a write is under way goes into the next one.
+// worker writes one shard. Operations that arrive during a write go into the next one.
 type worker struct {
 	cs   *Claims
 	path string
 	wake chan struct{}
 
+	// mu guards claims with their cancelled fields, and settles.
 	mu      sync.Mutex
 	claims  []*claimOp
 	settles []*settleOp
 
-	// The rest belongs to run. known is what was read or written last; the segments from stale on have to be read
-	// before they are relied upon.
-	known *shard
-	stale int64
-	// lastWrite is when a write ended, unless another instance came before it.
+	// The fields below are used by run only.
+
+	// cached is the shard as last read or written.
+	cached *shard
+	// staleFrom is the number of the first segment that has to be read again before it can be relied upon.
+	staleFrom int64
+	// lastWrite is when the last write ended. A write that conflicted with another instance's does not count.
 	lastWrite time.Time
-	// rest is how long outcomes wait while the store fails, 0 while it does not.
-	rest time.Duration
+	// backoff is how long outcomes and releases are delayed while the store fails, 0 while it does not.
+	backoff time.Duration
 }
 
-// nothingStale is above the number of every segment.
-const nothingStale = math.MaxInt64
+// noneStale is the staleFrom of a shard whose segments are all up to date. It is above the number of every segment.
+const noneStale = math.MaxInt64
 
 func newWorker(cs *Claims, number int) *worker {
-	return &worker{cs: cs, path: fmt.Sprintf("%s%03d/", Prefix, number), wake: make(chan struct{}, 1), known: &shard{}}
+	return &worker{cs: cs, path: fmt.Sprintf("%s%03d/", Prefix, number), wake: make(chan struct{}, 1), cached: &shard{}}
 }
 
 func (wk *worker) key(number int64) string {
@@ -107,29 +112,29 @@
 	}
 }
 
-func (wk *worker) drop(op *claimOp) {
+func (wk *worker) cancelClaim(op *claimOp) {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
-	op.dropped = true
+	op.cancelled = true
 }
 
-// waiting reports what waits.
-func (wk *worker) waiting() (claims, settles bool) {
+// pending reports whether claims and whether outcomes or releases are queued.
+func (wk *worker) pending() (claims, settles bool) {
 	wk.mu.Lock()
 	defer wk.mu.Unlock()
 	return len(wk.claims) > 0, len(wk.settles) > 0
 }
 
-// run writes until the context ends, and then what is left once more.
+// run writes until the context ends. If outcomes or releases are queued then, it attempts one last write.
 func (wk *worker) run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		claims, settles := wk.waiting()
+		claims, settles := wk.pending()
 		switch {
 		case claims:
-			delay.For(ctx, time.Until(wk.lastWrite.Add(writePause)))
+			delay.For(ctx, time.Until(wk.lastWrite.Add(minWriteInterval)))
 			wk.write(ctx)
 		case settles:
-			wk.gather(ctx, max(settlePause, wk.rest))
+			wk.waitForClaim(ctx, max(settleDelay, wk.backoff))
 			wk.write(ctx)
 		default:
 			select {
@@ -138,19 +143,19 @@
 			}
 		}
 	}
-	if _, settles := wk.waiting(); settles {
-		last, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastWrites)
+	if _, settles := wk.pending(); settles {
+		last, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownWriteTimeout)
 		defer cancel()
 		wk.write(last)
 	}
 	return ctx.Err()
 }
 
-// lastWrites bounds what an instance that stops spends on outcomes not yet recorded.
-const lastWrites = 2 * time.Second
+// shutdownWriteTimeout bounds the time that a stopping instance spends on outcomes that are not recorded yet.
+const shutdownWriteTimeout = 2 * time.Second
 
-// gather waits for a claim that the outcomes can share a write with.
-func (wk *worker) gather(ctx context.Context, period time.Duration) {
+// waitForClaim waits up to the period for a claim that the queued outcomes can share a write with.
+func (wk *worker) waitForClaim(ctx context.Context, period time.Duration) {
 	timer := time.NewTimer(period)
 	defer timer.Stop()
 	for {
@@ -160,28 +165,28 @@
 		case <-timer.C:
 			return
 		case <-wk.wake:
-			if claims, _ := wk.waiting(); claims {
-				delay.For(ctx, time.Until(wk.lastWrite.Add(writePause)))
+			if claims, _ := wk.pending(); claims {
+				delay.For(ctx, time.Until(wk.lastWrite.Add(minWriteInterval)))
 				return
 			}
 		}
 	}
 }
 
-// write takes all that waits into one write. What the store did not clearly take waits again: whether it landed shows
-// by the nonces at the next read.
+// write puts all queued operations into one write. If the store does not confirm it, they are queued again; whether they
+// took effect shows by their nonces at the next read.
 func (wk *worker) write(ctx context.Context) {
 	wk.mu.Lock()
-	claims, settles := live(wk.claims), wk.settles
+	claims, settles := withoutCancelled(wk.claims), wk.settles
 	wk.claims, wk.settles = nil, nil
 	wk.mu.Unlock()
 	if len(claims)+len(settles) == 0 {
 		return
 	}
-	err := wk.swap(ctx, claims, settles)
-	wk.cs.heard(err)
+	err := wk.commit(ctx, claims, settles)
+	wk.cs.recordStoreResult(err)
 	if err == nil {
-		wk.rest = 0
+		wk.backoff = 0
 		return
 	}
 	wk.mu.Lock()
@@ -189,145 +194,147 @@
 	wk.settles = append(settles, wk.settles...)
 	wk.mu.Unlock()
 	if !errorx.IsOfType(err, store.Conflict) {
-		wk.rest = min(max(restPause, 2*wk.rest), maxRest)
+		wk.backoff = min(max(minBackoff, 2*wk.backoff), maxBackoff)
 		wk.lastWrite = time.Now()
 	}
 }
 
-func live(ops []*claimOp) []*claimOp {
+func withoutCancelled(ops []*claimOp) []*claimOp {
 	var kept []*claimOp
 	for _, op := range ops {
-		if !op.dropped {
+		if !op.cancelled {
 			kept = append(kept, op)
 		}
 	}
 	return kept
 }
 
-// swap applies the operations to the shard and writes the segments that change. The last segment goes first: it has
-// the claims and the nonces of those given up, on which the rest relies.
-func (wk *worker) swap(ctx context.Context, claims []*claimOp, settles []*settleOp) error {
-	fresh := wk.stale == 0
+// commit applies the operations to the shard and writes the segments that change. It writes the last segment first, since
+// the other changes rely on the claims and the nonces of released claims in it.
+func (wk *worker) commit(ctx context.Context, claims []*claimOp, settles []*settleOp) error {
+	fresh := wk.staleFrom == 0
 	if err := wk.refresh(ctx); err != nil {
 		return err
 	}
 	next, results, found := wk.apply(claims, settles)
-	if found < nothingStale && !fresh {
-		// The claim that stands may have been settled or released by another instance since it was read.
-		wk.stale = found
+	if found < noneStale && !fresh {
+		// The claim that holds the key may have been settled or released by another instance since it was read.
+		wk.staleFrom = found
 		if err := wk.refresh(ctx); err != nil {
 			return err
 		}
 		next, results, _ = wk.apply(claims, settles)
 	}
-	gone := next.prune(time.Now(), wk.cs.retention())
+	pruned := next.prune(time.Now(), wk.cs.retention())
 	next.seal(wk.cs.sealAt)
 	for i := next.last(); i >= 0; i-- {
-		if err := wk.writePart(ctx, &next.parts[i]); err != nil {
+		if err := wk.writeSegment(ctx, &next.segments[i]); err != nil {
 			return err
 		}
 	}
-	next.open()
-	wk.known = next
+	next.ensureOpen()
+	wk.cached = next
 	for i, op := range claims {
-		op.given <- results[i]
+		op.reply <- results[i]
 	}
 	for _, op := range settles {
 		close(op.done)
 	}
-	wk.remove(ctx, gone)
+	wk.deleteSegments(ctx, pruned)
 	return nil
 }
 
-// apply returns the shard with the operations applied, and the lowest segment in which a claim found another's.
-func (wk *worker) apply(claims []*claimOp, settles []*settleOp) (next *shard, results []claimed, found int64) {
+// apply returns the shard with the operations applied, the results of the claims, and the lowest number of a segment in
+// which another request holds the key of a claim, noneStale if there is none.
+func (wk *worker) apply(claims []*claimOp, settles []*settleOp) (next *shard, results []claimResult, found int64) {
 	now := time.Now()
-	next = wk.known.clone()
-	found = nothingStale
-	// A resend right after its answer finds the outcome that shares its write.
+	next = wk.cached.clone()
+	found = noneStale
+	// Outcomes come first, so that a resend right after the response finds the outcome that shares its write.
 	for _, op := range settles {
 		next.settle(op, now)
 	}
 	for _, op := range claims {
 		res, segment := next.claim(op, now)
 		if segment >= 0 {
-			found = min(found, next.parts[segment].number)
+			found = min(found, next.segments[segment].number)
 		}
 		results = append(results, res)
 	}
 	return next, results, found
 }
 
-// writePart writes a segment if it changed. After a failure it is not known what the store holds.
-func (wk *worker) writePart(ctx context.Context, pt *part) error {
-	if !pt.dirty {
+// writeSegment writes a segment if it changed. After a failure the content of the store is unknown, so all segments are
+// marked stale.
+func (wk *worker) writeSegment(ctx context.Context, sg *cachedSegment) error {
+	if !sg.dirty {
 		return nil
 	}
-	raw, err := pt.seg.encode()
+	raw, err := sg.seg.encode()
 	if err != nil {
-		return Corrupt.Wrap(err, "once: %s does not encode", wk.key(pt.number))
+		return Corrupt.Wrap(err, "once: segment %s does not encode", wk.key(sg.number))
 	}
-	pair, err := wk.cs.st.Swap(ctx, wk.key(pt.number), raw, pt.revision, 0)
+	pair, err := wk.cs.st.Swap(ctx, wk.key(sg.number), raw, sg.revision, 0)
 	if err != nil {
-		wk.stale = 0
+		wk.staleFrom = 0
 		return err
 	}
-	pt.revision, pt.dirty = pair.Revision, false
+	sg.revision, sg.dirty = pair.Revision, false
 	wk.lastWrite = time.Now()
 	return nil
 }
 
-// remove deletes expired segments. One that cannot be deleted now is met again by the next reader.
-func (wk *worker) remove(ctx context.Context, gone []part) {
-	for _, pt := range gone {
-		if pt.revision != 0 {
-			_ = wk.cs.st.Delete(ctx, wk.key(pt.number), pt.revision)
+// deleteSegments deletes expired segments. A segment that cannot be deleted now is read again by the next reader.
+func (wk *worker) deleteSegments(ctx context.Context, segments []cachedSegment) {
+	for _, sg := range segments {
+		if sg.revision != 0 {
+			_ = wk.cs.st.Delete(ctx, wk.key(sg.number), sg.revision)
 		}
 	}
 }
 
-// listLimit keeps a list of segments within what the store's client reads of one answer.
+// listLimit is the number of segments per List call. It keeps the response within what the store's client accepts.
 const listLimit = 32
 
-// refresh reads the segments from the stale one on.
+// refresh reads the segments from staleFrom on.
 func (wk *worker) refresh(ctx context.Context) error {
-	if wk.stale == nothingStale {
+	if wk.staleFrom == noneStale {
 		return nil
 	}
 	next := &shard{}
-	for _, pt := range wk.known.parts {
-		if pt.number < wk.stale {
-			next.parts = append(next.parts, pt)
+	for _, sg := range wk.cached.segments {
+		if sg.number < wk.staleFrom {
+			next.segments = append(next.segments, sg)
 		}
 	}
-	from := wk.key(wk.stale)
+	from := wk.key(wk.staleFrom)
 	for {
 		pairs, err := wk.cs.st.List(ctx, wk.path, from, listLimit)
 		if err != nil {
 			return err
 		}
 		for _, pair := range pairs {
-			pt, err := wk.decode(pair)
+			sg, err := wk.decode(pair)
 			if err != nil {
 				return err
 			}
-			next.parts = append(next.parts, pt)
-			from = wk.key(pt.number + 1)
+			next.segments = append(next.segments, sg)
+			from = wk.key(sg.number + 1)
 		}
 		if len(pairs) < listLimit {
 			break
 		}
 	}
-	next.open()
-	wk.known, wk.stale = next, nothingStale
+	next.ensureOpen()
+	wk.cached, wk.staleFrom = next, noneStale
 	return nil
 }
 
-func (wk *worker) decode(pair store.Pair) (part, error) {
+func (wk *worker) decode(pair store.Pair) (cachedSegment, error) {
 	number, err := strconv.ParseInt(strings.TrimPrefix(pair.Key, wk.path), 10, 64)
 	if err != nil || number < 0 {
-		return part{}, Corrupt.New("once: %s is no segment; find out who wrote it", pair.Key)
+		return cachedSegment{}, Corrupt.New("once: %s is not the key of a segment: find out what else writes below the prefix of claims", pair.Key)
 	}
 	seg, err := decodeSegment(pair.Value)
-	return part{number: number, revision: pair.Revision, seg: seg}, err
+	return cachedSegment{number: number, revision: pair.Revision, seg: seg}, err
 }
--- a/internal/order/keeper.go
+++ b/internal/order/keeper.go
@@ -14,15 +14,15 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// View is what the keeper sees of the fleet.
+// View is the state of the fleet that the keeper acts on.
 type View struct {
 	Services map[string]decl.Service
-	// Instances are the entry instances thought to live, this one among them or not.
+	// Instances are the entry instances that are believed to be alive. This instance may be missing.
 	Instances []event.Instance
 	Upstreams []Upstream
 }
 
-// Upstream is one listed replica with what it reported.
+// Upstream is one listed replica with the state that it reported.
 type Upstream struct {
 	event.Upstream
 	Reported bool
@@ -31,32 +31,35 @@
 	Role     string
 }
 
-// Keeper gives the orders in the pools whose leases this instance holds.
+// Keeper sends the orders in the pools whose leases this instance holds.
 type Keeper struct {
 	self    event.Instance
 	holder  *lease.Holder
 	weights *Weights
 	engines upstr.Engine
-	// Given is called for each order that left, Waited for each that had to wait for the weight store's rate.
-	Given  func(pool string, snd *Send, err error)
+	// Given is called for each order after it was sent or failed.
+	Given func(pool string, snd *Send, err error)
+	// Waited is called for each order that is postponed because the weight store's rate limit does not allow its loads, or
+	// could not be checked.
 	Waited func(pool string)
-	pools  map[string]*State
+	// rollouts holds the rollout of each pool whose lease is held, by the pool's name.
+	rollouts map[string]*Rollout
 }
 
 // NewKeeper returns a keeper for the instance.
 func NewKeeper(self event.Instance, holder *lease.Holder, weights *Weights, engines upstr.Engine) *Keeper {
 	return &Keeper{
-		self:    self,
-		holder:  holder,
-		weights: weights,
-		engines: engines,
-		Given:   func(string, *Send, error) {},
-		Waited:  func(string) {},
-		pools:   map[string]*State{},
+		self:     self,
+		holder:   holder,
+		weights:  weights,
+		engines:  engines,
+		Given:    func(string, *Send, error) {},
+		Waited:   func(string) {},
+		rollouts: map[string]*Rollout{},
 	}
 }
 
-// pool is the replicas of one service in one failure domain.
+// pool holds the replicas of one service in one failure domain.
 type pool struct {
 	name    string
 	service decl.Service
@@ -64,12 +67,13 @@
 	reps    []Replica
 }
 
-// Step wants the leases that fall to this instance and gives at most one order in each pool that it holds.
+// Step requests the leases of the pools for which this instance ranks first, and sends at most one order in each pool whose
+// lease it holds.
 func (kp *Keeper) Step(ctx context.Context, view View) {
-	pools := gather(view)
+	pools := groupIntoPools(view)
 	var wanted []string
 	for _, pl := range pools {
-		if kp.falls(pl, view.Instances) {
+		if kp.ranksFirst(pl, view.Instances) {
 			wanted = append(wanted, pl.name)
 		}
 	}
@@ -78,36 +82,36 @@
 	for _, pl := range pools {
 		held, ok := kp.holder.Check(pl.name)
 		if !ok {
-			delete(kp.pools, pl.name)
+			delete(kp.rollouts, pl.name)
 			continue
 		}
-		st := kp.pools[pl.name]
-		if st == nil {
-			st = New()
-			kp.pools[pl.name] = st
+		ro := kp.rollouts[pl.name]
+		if ro == nil {
+			ro = NewRollout()
+			kp.rollouts[pl.name] = ro
 		}
 		group.Go(func() error {
-			kp.keep(ctx, pl, st, held)
+			kp.sendNext(ctx, pl, ro, held)
 			return nil
 		})
 	}
 	_ = group.Wait()
 }
 
-// States reports whether the service states what its replicas should be.
+// States reports whether the service configures what its replicas load or which roles they have.
 func States(svc decl.Service) bool {
-	return svc.Kind == decl.KindModel && (len(svc.Roles) > 0 || len(Wanted(svc, nil)) > 0)
+	return svc.Kind == decl.KindModel && (len(svc.Roles) > 0 || len(WantedModels(svc, nil)) > 0)
 }
 
-// gather puts the listed replicas of model services that state something into pools, in the order of names.
-func gather(view View) []*pool {
+// groupIntoPools returns the pools of the listed replicas, sorted by name. It leaves out services for which States is false.
+func groupIntoPools(view View) []*pool {
 	pools := map[string]*pool{}
 	for _, service := range sortedKeys(view.Services) {
 		svc := view.Services[service]
 		if !States(svc) {
 			continue
 		}
-		roles := Roles(svc, domains(view, service))
+		roles := AssignRoles(svc, replicaDomains(view, service))
 		for _, up := range view.Upstreams {
 			if up.Service != service || up.Leaving {
 				continue
@@ -129,7 +133,7 @@
 	return list
 }
 
-func domains(view View, service string) map[string]string {
+func replicaDomains(view View, service string) map[string]string {
 	byName := map[string]string{}
 	for _, up := range view.Upstreams {
 		if up.Service == service && !up.Leaving {
@@ -139,36 +143,37 @@
 	return byName
 }
 
-// falls reports whether this instance ranks first for the pool among those of its failure domain, or among all if the
-// domain has none. Instances that see the fleet differently compete for the lease; it decides.
-func (kp *Keeper) falls(pl *pool, instances []event.Instance) bool {
-	near := kp.self.FailureDomain == pl.domain
+// ranksFirst reports whether this instance has the highest rendezvous hash for the pool among the instances in the pool's
+// failure domain, or among all instances if there are none. Instances that see the fleet differently may compete for the
+// lease, which then decides.
+func (kp *Keeper) ranksFirst(pl *pool, instances []event.Instance) bool {
+	hasLocal := kp.self.FailureDomain == pl.domain
 	for _, inst := range instances {
-		near = near || (inst.FailureDomain == pl.domain && !inst.Leaving)
+		hasLocal = hasLocal || (inst.FailureDomain == pl.domain && !inst.Leaving)
 	}
-	if near && kp.self.FailureDomain != pl.domain {
+	if hasLocal && kp.self.FailureDomain != pl.domain {
 		return false
 	}
-	own := rank(pl.name, kp.self.Name)
+	score := rendezvousHash(pl.name, kp.self.Name)
 	for _, inst := range instances {
-		if inst.Leaving || inst.Name == kp.self.Name || (near && inst.FailureDomain != pl.domain) {
+		if inst.Leaving || inst.Name == kp.self.Name || (hasLocal && inst.FailureDomain != pl.domain) {
 			continue
 		}
-		if rank(pl.name, inst.Name) > own {
+		if rendezvousHash(pl.name, inst.Name) > score {
 			return false
 		}
 	}
 	return true
 }
 
-func rank(pool, instance string) uint64 {
+func rendezvousHash(pool, instance string) uint64 {
 	return xxhash.Sum64String("order/" + pool + "/" + instance)
 }
 
-// keep gives the next order of a held pool.
-func (kp *Keeper) keep(ctx context.Context, pl *pool, st *State, held lease.Held) {
+// sendNext sends the next order of a pool whose lease is held.
+func (kp *Keeper) sendNext(ctx context.Context, pl *pool, ro *Rollout, held lease.Held) {
 	now := time.Now()
-	snd := st.Next(Look{Now: now, Service: pl.service, Replicas: pl.reps, Since: held.Since, Fence: held.Fence, TTL: lease.TTL})
+	snd := ro.Next(Snapshot{Now: now, Service: pl.service, Replicas: pl.reps, Since: held.Since, Fence: held.Fence, TTL: lease.TTL})
 	if snd == nil {
 		return
 	}
@@ -178,12 +183,12 @@
 		kp.Waited(pl.name)
 		return
 	}
-	// The look and the taking took time; the lease may have been lost over them.
-	if again, ok := kp.holder.Check(pl.name); !ok || again.Fence != held.Fence {
+	// The lease may have been lost while the order was chosen and its loads were taken.
+	if current, ok := kp.holder.Check(pl.name); !ok || current.Fence != held.Fence {
 		return
 	}
 	err := kp.engines.Order(ctx, snd.Replica.Address, snd.Order)
-	st.Sent(now, snd)
+	ro.Sent(now, snd)
 	kp.Given(pl.name, snd, err)
 	if errorx.IsOfType(err, upstr.Fenced) {
 		kp.holder.Drop(pl.name)
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,6 +1,6 @@
-// Package order brings the offered models, adapters, versions and roles about on the replicas of a pool, one step at a
-// time. The holder of the pool's lease gives the orders; each one states the wanted end, so that an order that came
-// late or got lost shows at the next look and is set right.
+// Package order rolls out the configured models, adapters, versions and roles to the replicas of a pool, one step at a
+// time. The holder of the pool's lease sends the orders. Each order states the wanted end state instead of a change, so
+// an order that arrived late or was lost shows in the next snapshot and is corrected.
 package order
 
 import (
@@ -13,121 +13,129 @@
 )
 
 const (
-	// SendTimeout is the longest time that an order can be under way.
+	// SendTimeout is the longest time that an order can be in flight.
 	SendTimeout = 5 * time.Second
-	// settleTime is how long a new holder looks on until the replicas' reports, which lag, show the last one's orders.
-	settleTime = 3 * time.Second
-	// repeatAfter is when an order whose effect does not show is given again.
-	repeatAfter = 2 * time.Minute
-	// reportLag is how long after an order a report may still show the time before it.
+	// reportSettleTime is how long a new holder waits for the replicas' reports, which lag, to show its predecessor's orders.
+	reportSettleTime = 3 * time.Second
+	// resendAfter is the time after which an order is sent again if its effect does not show.
+	resendAfter = 2 * time.Minute
+	// reportLag is how long after an order a report may still show the state before it.
 	reportLag = 3 * time.Second
-	// stepShare is the part of a pool that may be away at once for a change, at least one replica.
-	stepShare = 8
+	// maxUnavailableDivisor bounds how many replicas of a pool a change may make unavailable at once: the pool's size divided
+	// by it, at least one.
+	maxUnavailableDivisor = 8
 )
 
-// Replica is what is known of one replica of the pool.
+// Replica is the known state of one replica of the pool.
 type Replica struct {
 	Name    string
 	Address string
-	// Reported tells that the engine ever told what it has loaded.
+	// Reported reports whether the engine has ever reported what it has loaded.
 	Reported bool
-	// Models and Loading are as reported, as upstr.LoadedName gives them.
-	Models  []string
+	// Models are the loaded models and adapters that the engine reported, in the form of upstr.LoadedName.
+	Models []string
+	// Loading are the models and adapters that the engine reported as being loaded, in the same form.
 	Loading []string
 	Role    string
-	// WantedRole is the role it should play, empty for any.
+	// WantedRole is the role that the replica should have, empty for any.
 	WantedRole string
 }
 
-// Look is what a step is decided from. The replicas that leave are not among Replicas.
-type Look struct {
-	Now      time.Time
-	Service  decl.Service
+// Snapshot is the state of a pool at one time, from which the next order is chosen.
+type Snapshot struct {
+	Now     time.Time
+	Service decl.Service
+	// Replicas are the pool's replicas without those that are leaving.
 	Replicas []Replica
-	// Since is when the lease was taken, Fence its number, and TTL what the service grants a lease.
+	// Since is when the pool's lease was taken.
 	Since time.Time
+	// Fence is the fencing number of the pool's lease.
 	Fence int64
-	TTL   time.Duration
+	// TTL is the time after which the key-value service ends a lease that is not renewed.
+	TTL time.Duration
 }
 
-// Send is an order to be given now.
+// Send is an order to be sent now.
 type Send struct {
 	Replica Replica
 	Order   upstr.Order
-	// Loads is how many weights the replica has to fetch for it.
+	// Loads is the number of models and adapters whose weights the replica has to fetch for the order.
 	Loads int
 }
 
-type given struct {
+// sentOrder is an order that may have reached its replica.
+type sentOrder struct {
 	order upstr.Order
 	at    time.Time
 }
 
-// State is what a holder knows of the orders that it gave in one pool. It belongs to one goroutine.
-type State struct {
-	given map[string]given
+// Rollout tracks the orders that a holder sent in one pool. It is not safe for concurrent use.
+type Rollout struct {
+	// sent holds the last order of each replica whose effect has not shown yet, by the replica's name.
+	sent map[string]sentOrder
 }
 
-// New returns the state of a holder that gave no order yet.
-func New() *State {
-	return &State{given: map[string]given{}}
+// NewRollout returns the Rollout of a holder that has sent no order yet.
+func NewRollout() *Rollout {
+	return &Rollout{sent: map[string]sentOrder{}}
 }
 
-// Next returns the order to give now, or nil. Sent must be told of each order that may have left.
-func (st *State) Next(look Look) *Send {
-	if look.Now.Before(look.Since.Add(quiet(look.Service, look.TTL))) {
+// Next returns the order to send now, or nil. Sent must be called for each order that may have been sent.
+func (ro *Rollout) Next(snap Snapshot) *Send {
+	if snap.Now.Before(snap.Since.Add(takeoverWait(snap.Service, snap.TTL))) {
 		return nil
 	}
-	st.forget(look.Replicas)
-	away := 0
-	var behind []Send
-	for _, rep := range look.Replicas {
-		if st.changing(look, rep) {
-			away++
+	ro.forgetUnlisted(snap.Replicas)
+	unavailable := 0
+	var outdated []Send
+	for _, rep := range snap.Replicas {
+		if ro.inProgress(snap, rep) {
+			unavailable++
 			continue
 		}
-		if snd, ok := due(look, rep); ok {
-			behind = append(behind, snd)
+		if snd, ok := neededOrder(snap, rep); ok {
+			outdated = append(outdated, snd)
 		}
 	}
-	return choose(behind, away, max(1, len(look.Replicas)/stepShare))
+	return choose(outdated, unavailable, max(1, len(snap.Replicas)/maxUnavailableDivisor))
 }
 
-// quiet is how long a new holder gives no order. Engines that check fencing refuse the last holder's late orders. The
-// others obey whoever comes last, so the last holder's lease and its longest order must be over first.
-func quiet(svc decl.Service, ttl time.Duration) time.Duration {
+// takeoverWait returns how long a new holder sends no order. Engines that check fencing numbers refuse late orders of the
+// previous holder. The others obey the order that arrives last, so the previous holder's lease and its longest order must
+// have ended first.
+func takeoverWait(svc decl.Service, ttl time.Duration) time.Duration {
 	if svc.ChecksFencing {
-		return settleTime
+		return reportSettleTime
 	}
 	return ttl + SendTimeout
 }
 
-// choose takes a replica that serves nothing of what is wanted, which costs no capacity, or else the first one behind
-// if few enough are away.
-func choose(behind []Send, away, allowed int) *Send {
-	for i, snd := range behind {
+// choose returns the order for a replica that serves none of the wanted models, which costs no capacity, or else the first
+// order if fewer than the allowed number of replicas are unavailable.
+func choose(outdated []Send, unavailable, allowed int) *Send {
+	for i, snd := range outdated {
 		if snd.idle() {
-			return &behind[i]
+			return &outdated[i]
 		}
 	}
-	if len(behind) == 0 || away >= allowed {
+	if len(outdated) == 0 || unavailable >= allowed {
 		return nil
 	}
-	return &behind[0]
+	return &outdated[0]
 }
 
-// idle tells that the replica serves none of the wanted models now, in any version.
+// idle reports whether the replica currently serves none of the wanted models, in any version.
 func (snd *Send) idle() bool {
 	for _, name := range snd.Order.Models {
-		if upstr.Offers(snd.Replica.Models, offered(name)) {
+		if upstr.Offers(snd.Replica.Models, requestName(name)) {
 			return false
 		}
 	}
 	return true
 }
 
-// offered is the name under which callers ask for what is loaded under the name.
-func offered(name string) string {
+// requestName returns the name that callers request for a loaded name: the same name without the version.
+func requestName(name string) string {
 	base, adapter, has := strings.Cut(name, ":")
 	base, _, _ = strings.Cut(base, "@")
 	if has {
@@ -136,51 +144,51 @@
 	return base
 }
 
-// Sent notes an order that may have left.
-func (st *State) Sent(now time.Time, snd *Send) {
-	st.given[snd.Replica.Name] = given{order: snd.Order, at: now}
+// Sent records an order that may have been sent.
+func (ro *Rollout) Sent(now time.Time, snd *Send) {
+	ro.sent[snd.Replica.Name] = sentOrder{order: snd.Order, at: now}
 }
 
-func (st *State) forget(replicas []Replica) {
+func (ro *Rollout) forgetUnlisted(replicas []Replica) {
 	listed := map[string]bool{}
 	for _, rep := range replicas {
 		listed[rep.Name] = true
 	}
-	for name := range st.given {
+	for name := range ro.sent {
 		if !listed[name] {
-			delete(st.given, name)
+			delete(ro.sent, name)
 		}
 	}
 }
 
-// changing reports whether the replica is on its way to the wanted end, or cannot be judged.
-func (st *State) changing(look Look, rep Replica) bool {
+// inProgress reports whether the replica may still be changing to the wanted state, or its state is unknown.
+func (ro *Rollout) inProgress(snap Snapshot, rep Replica) bool {
 	if !rep.Reported {
 		return true
 	}
-	gv, ok := st.given[rep.Name]
+	so, ok := ro.sent[rep.Name]
 	if !ok {
-		// Orders of the holder before this one show as loads under way.
+		// Orders of the previous holder show only as loads in progress.
 		return len(rep.Loading) > 0
 	}
-	if look.Now.Before(gv.at.Add(reportLag)) {
+	if snap.Now.Before(so.at.Add(reportLag)) {
 		return true
 	}
-	if matches(rep, gv.order) {
-		delete(st.given, rep.Name)
+	if matches(rep, so.order) {
+		delete(ro.sent, rep.Name)
 		return false
 	}
-	return look.Now.Before(gv.at.Add(repeatAfter))
+	return snap.Now.Before(so.at.Add(resendAfter))
 }
 
-// due returns the order that the replica needs, and false if it is as wanted.
-func due(look Look, rep Replica) (Send, bool) {
-	order := upstr.Order{Fence: look.Fence, Models: Wanted(look.Service, rep.Models), Role: rep.WantedRole}
+// neededOrder returns the order that the replica needs, or false if the replica is in the wanted state.
+func neededOrder(snap Snapshot, rep Replica) (Send, bool) {
+	order := upstr.Order{Fence: snap.Fence, Models: WantedModels(snap.Service, rep.Models), Role: rep.WantedRole}
 	if len(order.Models) == 0 && order.Role == "" {
 		return Send{}, false
 	}
 	if len(order.Models) == 0 {
-		// An order states all that is to be loaded; a change of role leaves it as it is.
+		// An order states all models to be loaded. A change of the role only must repeat those that are.
 		order.Models = rep.Models
 	}
 	if matches(rep, order) {
@@ -202,34 +210,35 @@
 	return len(rep.Loading) == 0 && sameNames(rep.Models, order.Models)
 }
 
-func sameNames(one, two []string) bool {
-	one, two = slices.Sorted(slices.Values(one)), slices.Sorted(slices.Values(two))
-	return slices.Equal(slices.Compact(one), slices.Compact(two))
+func sameNames(a, b []string) bool {
+	a, b = slices.Sorted(slices.Values(a)), slices.Sorted(slices.Values(b))
+	return slices.Equal(slices.Compact(a), slices.Compact(b))
 }
 
-// Wanted returns what a replica that has loaded some models should have, empty if the service leaves that alone: it
-// does where no model names a version or an adapter.
-func Wanted(svc decl.Service, loaded []string) []string {
+// WantedModels returns the models and adapters that a replica with the given loaded ones should have loaded. It returns nil
+// if no model of the service names a version or an adapter, since the service then does not control what is loaded.
+func WantedModels(svc decl.Service, loaded []string) []string {
 	var wanted []string
-	states := false
+	declared := false
 	for _, model := range svc.Models {
-		states = states || model.Version != "" || len(model.Adapters) > 0
+		declared = declared || model.Version != "" || len(model.Adapters) > 0
 		version := model.Version
 		if version == "" {
-			version = versionOf(loaded, model.Name)
+			version = loadedVersion(loaded, model.Name)
 		}
 		wanted = append(wanted, upstr.LoadedName(model.Name, version, ""))
 		for _, adapter := range model.Adapters {
 			wanted = append(wanted, upstr.LoadedName(model.Name, version, adapter))
 		}
 	}
-	if !states {
+	if !declared {
 		return nil
 	}
 	return wanted
 }
 
-func versionOf(loaded []string, model string) string {
+// loadedVersion returns the version in which the model is loaded, empty if it is not loaded with a version.
+func loadedVersion(loaded []string, model string) string {
 	for _, name := range loaded {
 		if version, ok := strings.CutPrefix(name, model+"@"); ok && !strings.Contains(version, ":") {
 			return version
@@ -238,15 +247,15 @@
 	return ""
 }
 
-// Roles assigns the wanted roles to the replicas of a service, by name. All holders see the same list and come to the
-// same end without a word to each other; the list is dealt out over the failure domains in turn, so that each gets its
-// part of every role.
-func Roles(svc decl.Service, domains map[string]string) map[string]string {
+// AssignRoles assigns the configured roles to the replicas of a service and returns them by replica name; domains maps the
+// replicas to their failure domains. The result depends on the arguments only, so holders that see the same list agree
+// without communication. The failure domains take turns, so that each gets its share of every role.
+func AssignRoles(svc decl.Service, domains map[string]string) map[string]string {
 	roles := map[string]string{}
 	if len(svc.Roles) == 0 {
 		return roles
 	}
-	order := deal(domains)
+	order := interleaveDomains(domains)
 	for _, role := range sortedKeys(svc.Roles) {
 		count := min(svc.Roles[role], len(order))
 		for _, name := range order[:max(0, count)] {
@@ -257,8 +266,8 @@
 	return roles
 }
 
-// deal orders the replicas so that the failure domains take turns.
-func deal(domains map[string]string) []string {
+// interleaveDomains returns the replicas in an order in which the failure domains take turns.
+func interleaveDomains(domains map[string]string) []string {
 	byDomain := map[string][]string{}
 	for _, name := range sortedKeys(domains) {
 		byDomain[domains[name]] = append(byDomain[domains[name]], name)
--- a/internal/order/weights.go
+++ b/internal/order/weights.go
@@ -11,49 +11,51 @@
 	"dandelionsail.example/dandelionsail/internal/store"
 )
 
-// weightsKey holds the loads of the last minute, over the whole fleet.
+// weightsKey is the store's key for the whole fleet's loads of the last minute.
 const weightsKey = "dandelionsail/weights"
 
-// window is the time that the rate is counted over.
-const window = time.Minute
+// rateWindow is the period over which loads are counted.
+const rateWindow = time.Minute
 
-// maxTakes bounds the tries against other takers in one call.
-const maxTakes = 5
+// maxAttempts bounds the attempts of one call if other instances write the key at the same time.
+const maxAttempts = 5
 
-// taken is one order's loads. At is in milliseconds since 1970 by the taker's clock; clocks that differ by a second
-// move the window by as much.
-type taken struct {
+// loadEntry records the loads of one order.
+type loadEntry struct {
+	// At is when the loads were taken, in milliseconds since 1970 by the clock of the instance that took them. A clock that
+	// is off by a second shifts the window by a second.
 	At    int64
 	Loads int
-	// Nonce is the taker's own, by which it knows its write after a lost answer.
+	// Nonce is unique to the order. By it an instance recognises its own write after a lost response.
 	Nonce string
 }
 
-// Weights keeps the weight store's rate over the whole fleet by a value in the key-value service. An order is rare,
-// minutes apart in each pool, so a read and a write for each cost next to nothing.
+// Weights enforces the weight store's rate limit across the whole fleet by a value in the key-value service. Orders are
+// rare, minutes apart in each pool, so the read and the write for each cost next to nothing.
 type Weights struct {
 	st store.Store
-	// PerMinute is how many loads the weight store serves in a minute.
+	// PerMinute is how many loads the weight store serves per minute.
 	PerMinute int
 	name      string
-	next      int
+	nextNonce int
 }
 
-// NewWeights returns the rate as one instance keeps it; the name is that of this run of the instance.
+// NewWeights returns the limiter of one instance. The name must be unique to this run of the instance, since the nonces
+// contain it.
 func NewWeights(st store.Store, name string, perMinute int) *Weights {
 	return &Weights{st: st, name: name, PerMinute: perMinute}
 }
 
-// Take takes the loads of one order, or returns false if they have to wait. An order of more loads than a minute
-// allows takes a whole minute. After a lost answer loads may stay taken for an order that was never given; the rate is
-// then kept with room to spare for a minute.
+// Take takes the loads of one order from the limit, or returns false if they have to wait. An order with more loads than
+// fit into a minute takes the whole minute's. After a lost response, loads may stay taken for an order that is never sent;
+// the rate then stays below the limit for a minute.
 func (ws *Weights) Take(ctx context.Context, loads int) (bool, error) {
 	if loads == 0 {
 		return true, nil
 	}
-	ws.next++
-	nonce := ws.name + "/" + strconv.Itoa(ws.next)
-	for range maxTakes {
+	ws.nextNonce++
+	nonce := ws.name + "/" + strconv.Itoa(ws.nextNonce)
+	for range maxAttempts {
 		ok, err := ws.take(ctx, min(loads, ws.PerMinute), nonce)
 		if !errorx.IsOfType(err, store.Conflict) {
 			return ok, err
@@ -68,16 +70,16 @@
 	if err != nil {
 		return false, err
 	}
-	kept, total := recent(list, now)
-	for _, tk := range kept {
-		if tk.Nonce == nonce {
+	kept, total := withinWindow(list, now)
+	for _, le := range kept {
+		if le.Nonce == nonce {
 			return true, nil
 		}
 	}
 	if total+loads > ws.PerMinute {
 		return false, nil
 	}
-	raw, err := json.Marshal(append(kept, taken{At: now.UnixMilli(), Loads: loads, Nonce: nonce}))
+	raw, err := json.Marshal(append(kept, loadEntry{At: now.UnixMilli(), Loads: loads, Nonce: nonce}))
 	if err != nil {
 		return false, err
 	}
@@ -85,7 +87,7 @@
 	return err == nil, err
 }
 
-func (ws *Weights) read(ctx context.Context) ([]taken, int64, error) {
+func (ws *Weights) read(ctx context.Context) ([]loadEntry, int64, error) {
 	pair, err := ws.st.Get(ctx, weightsKey)
 	if errorx.IsOfType(err, store.Missing) {
 		return nil, 0, nil
@@ -93,26 +95,26 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	list, err := decodeTaken(pair.Value)
+	list, err := decodeEntries(pair.Value)
 	return list, pair.Revision, err
 }
 
-func decodeTaken(raw []byte) ([]taken, error) {
-	var list []taken
+func decodeEntries(raw []byte) ([]loadEntry, error) {
+	var list []loadEntry
 	if err := json.Unmarshal(raw, &list); err != nil {
-		return nil, store.Invalid.Wrap(err, "order: %s does not decode; remove the key, its loads count for a minute only", weightsKey)
+		return nil, store.Invalid.Wrap(err, "order: value of %s does not decode: remove the key, its loads count for one minute only", weightsKey)
 	}
 	return list, nil
 }
 
-// recent returns what was taken within the window. What lies in the future by this clock is kept no longer than the
-// window either.
-func recent(list []taken, now time.Time) (kept []taken, total int) {
-	for _, tk := range list {
-		age := now.Sub(time.UnixMilli(tk.At))
-		if age < window && age > -window {
-			kept = append(kept, tk)
-			total += tk.Loads
+// withinWindow returns the entries within the window and the sum of their loads. Entries that are further in the future by
+// this clock than the length of the window are dropped too.
+func withinWindow(list []loadEntry, now time.Time) (kept []loadEntry, total int) {
+	for _, le := range list {
+		age := now.Sub(time.UnixMilli(le.At))
+		if age < rateWindow && age > -rateWindow {
+			kept = append(kept, le)
+			total += le.Loads
 		}
 	}
 	return kept, total
--- a/internal/store/etcd.go
+++ b/internal/store/etcd.go
@@ -14,42 +14,43 @@
 	"github.com/joomcode/errorx"
 )
 
-// Bounds of one call.
 const (
+	// dialTimeout bounds the time to connect to the service.
 	dialTimeout = time.Second
-	// callTimeout ends a call that the service leaves unanswered.
+	// callTimeout bounds a call, or the opening of a watch, that the service does not answer.
 	callTimeout = 3 * time.Second
-	// watchBacklog is how many changes wait for a slow reader before the watch stops reading.
-	watchBacklog = 64
-	// maxAnswer bounds what is read of one answer in bytes, far above the longest List that this system asks for.
-	maxAnswer = 64 << 20
-	// maxWatchLine bounds one message of a watch: a batch of patches, each below MaxValue, in base64.
-	maxWatchLine  = 32 << 20
+	// watchBuffer is how many changes are buffered for a slow reader before the watch stops reading from the service.
+	watchBuffer = 64
+	// maxResponseBytes bounds the length of one response, far above the longest List that this system requests.
+	maxResponseBytes = 64 << 20
+	// maxWatchLineBytes bounds one message of a watch: a batch of patches, each shorter than MaxValue, in base64.
+	maxWatchLineBytes = 32 << 20
+	// keepAliveIdle is how long a connection is idle before TCP keep-alive probes are sent.
 	keepAliveIdle = 5 * time.Second
 )
 
-// Codes of the service's errors, as the JSON form of its published protocol gives them.
+// Error codes in the body of an error response, as the JSON form of the service's published protocol defines them.
 const (
 	codeNotFound          = 5
 	codeResourceExhausted = 8
 )
 
-// Client is the Store over the etcd version 3 JSON protocol, the published form of the platform's service.
+// Client implements Store over the etcd version 3 JSON protocol, the published protocol of the platform's service.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// New returns a client of the service at the address.
+// New returns a client of the service at the address, given as host:port.
 func New(address string) *Client {
-	// A watch has no traffic for hours; without keep-alives a connection that was forgotten on the way would look
-	// like a store where nothing changes.
+	// A watch may have no traffic for hours. Without keep-alives, a connection that some device on the path has silently
+	// dropped would look like a store in which nothing changes.
 	keepAlive := net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: time.Second, Count: 3}
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive}
 	transport := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second}
-	// A redirect followed would be a write sent twice.
-	stay := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &Client{base: "http://" + address, http: &http.Client{Transport: transport, CheckRedirect: stay}}
+	// Redirects are not followed, because that would send a write twice.
+	noRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &Client{base: "http://" + address, http: &http.Client{Transport: transport, CheckRedirect: noRedirects}}
 }
 
 // Close closes idle connections.
@@ -84,7 +85,8 @@
 	return pairs, nil
 }
 
-// RangeEnd returns the first key behind all keys with the prefix.
+// RangeEnd returns the first key after all keys with the prefix. If there is none it returns a zero byte, which means "no
+// upper bound" in the protocol.
 func RangeEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -102,7 +104,7 @@
 		return Pair{}, Invalid.New("store: value of %s has %d bytes; split it, the platform holds %d", key, len(value), MaxValue)
 	}
 	request := TxnRequest{
-		Compare: []Compare{unchanged(key, revision)},
+		Compare: []Compare{revisionEquals(key, revision)},
 		Success: []Op{{Put: &PutRequest{Key: []byte(key), Value: value, Lease: int64(lease)}}},
 	}
 	var answer TxnAnswer
@@ -115,14 +117,14 @@
 	return Pair{Key: key, Value: value, Revision: answer.Header.Revision, Lease: lease}, nil
 }
 
-func unchanged(key string, revision int64) Compare {
+func revisionEquals(key string, revision int64) Compare {
 	return Compare{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRevision: revision}
 }
 
 // Delete implements Store.
 func (cl *Client) Delete(ctx context.Context, key string, revision int64) error {
 	request := TxnRequest{
-		Compare: []Compare{unchanged(key, revision)},
+		Compare: []Compare{revisionEquals(key, revision)},
 		Success: []Op{{Delete: &DeleteRequest{Key: []byte(key)}}},
 	}
 	var answer TxnAnswer
@@ -164,32 +166,32 @@
 func (cl *Client) Watch(ctx context.Context, prefix string, revision int64) (<-chan Change, error) {
 	create := WatchRequest{Create: WatchCreate{Key: []byte(prefix), RangeEnd: RangeEnd(prefix), StartRevision: revision}}
 	ctx, cancel := context.WithCancel(ctx)
-	// A service that takes the call and never answers must not hold the caller for ever.
-	opening := time.AfterFunc(callTimeout, cancel)
+	// Without this timeout, a service that accepts the call and never answers would block the caller forever.
+	openTimer := time.AfterFunc(callTimeout, cancel)
 	resp, err := cl.post(ctx, "/v3/watch", create)
 	if err != nil {
 		cancel()
 		return nil, err
 	}
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(nil, maxWatchLine)
+	lines.Buffer(nil, maxWatchLineBytes)
 	var created WatchAnswer
 	ok := lines.Scan() && json.Unmarshal(lines.Bytes(), &created) == nil && created.Result.Created && !created.Result.Canceled
-	if !ok || !opening.Stop() {
+	if !ok || !openTimer.Stop() {
 		cancel()
 		_ = resp.Body.Close()
 		return nil, Unavailable.New("store: the watch of %s did not start; the platform's service may be down", prefix)
 	}
-	changes := make(chan Change, watchBacklog)
+	changes := make(chan Change, watchBuffer)
 	go func() {
 		defer cancel()
-		follow(ctx, resp.Body, lines, changes)
+		readChanges(ctx, resp.Body, lines, changes)
 	}()
 	return changes, nil
 }
 
-// follow passes on what the service sends until the stream or the context ends; the closed channel is its report.
-func follow(ctx context.Context, body io.Closer, lines *bufio.Scanner, changes chan<- Change) {
+// readChanges sends the reported changes to the channel, which it closes when the stream or the context ends.
+func readChanges(ctx context.Context, body io.Closer, lines *bufio.Scanner, changes chan<- Change) {
 	defer close(changes)
 	defer func() { _ = body.Close() }()
 	for lines.Scan() {
@@ -215,13 +217,13 @@
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
-		cl.forget(err)
+		cl.closeIdleOnTimeout(err)
 		return Unavailable.Wrap(err, "store: %s answered in part", path)
 	}
-	if len(raw) > maxAnswer {
-		return Invalid.New("store: %s answered more than %d bytes; ask for fewer pairs", path, maxAnswer)
+	if len(raw) > maxResponseBytes {
+		return Invalid.New("store: %s answered more than %d bytes; ask for fewer pairs", path, maxResponseBytes)
 	}
 	if answer == nil {
 		return nil
@@ -242,31 +244,31 @@
 		return nil, Invalid.Wrap(err, "store: the address does not parse; give host:port")
 	}
 	req.Header.Set("Content-Type", "application/json")
-	// The transport would send the call a second time on a kept connection that broke; a write must be known to have
-	// been sent once only.
+	// With GetBody the transport would resend the call by itself when a kept-alive connection broke. A write must be sent
+	// once only, or the second one could conflict with the first.
 	req.GetBody = nil
 	resp, err := cl.http.Do(req)
 	if err != nil {
-		cl.forget(err)
+		cl.closeIdleOnTimeout(err)
 		return nil, Unavailable.Wrap(err, "store: %s gave no answer; the platform's service may be down", path)
 	}
 	if resp.StatusCode == http.StatusOK {
 		return resp, nil
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return nil, failure(path, resp)
+	return nil, statusError(path, resp)
 }
 
-// forget closes the idle connections after a call that timed out. When something on the way has lost track of the open
-// connections, all of them are silent while new ones work; without this each of the next calls would find another of
-// them and time out in turn.
-func (cl *Client) forget(err error) {
+// closeIdleOnTimeout closes the idle connections after a call that timed out. When a device on the path has lost track of
+// the open connections, all of them are dead while new ones work. Without this, each of the next calls would pick another
+// dead connection and time out too.
+func (cl *Client) closeIdleOnTimeout(err error) {
 	if errors.Is(err, context.DeadlineExceeded) {
 		cl.http.CloseIdleConnections()
 	}
 }
 
-func failure(path string, resp *http.Response) *errorx.Error {
+func statusError(path string, resp *http.Response) *errorx.Error {
 	var status Status
 	_ = json.NewDecoder(io.LimitReader(resp.Body, 1<<16)).Decode(&status)
 	switch {
--- a/internal/store/etcd_test.go
+++ b/internal/store/etcd_test.go
@@ -35,10 +35,10 @@
 	return platform, client, server
 }
 
-func TestWriteIsSentOnce(t *testing.T) {
-	// The service takes a write on a kept connection and closes it without an answer.
-	// Were the transport to send the write again by itself, the second one would meet the first one's effect and the
-	// caller would be told of a conflict with itself. It has to hear that the effect is unknown.
+func TestWriteIsNotRetriedByTransport(t *testing.T) {
+	// The service takes a write on a kept-alive connection and closes the connection without a response. If the transport
+	// resent the write, it could conflict with its own first attempt, and the caller would get Conflict. It must get
+	// Unavailable, since the effect is unknown.
 	var calls atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if calls.Add(1) > 1 {
@@ -56,20 +56,20 @@
 	assert.Equal(t, calls.Load(), int64(2))
 }
 
-func TestFaultsOfTheService(t *testing.T) {
+func TestErrorTypesOfFailedWrites(t *testing.T) {
 	cases := map[string]struct {
 		faults stand.Faults
 		rates  stand.Rates
 		value  int
 		err    *errorx.Type
-		// took tells whether the write is there afterwards.
-		took bool
+		// written reports whether the key exists afterwards.
+		written bool
 	}{
-		"sound":          {took: true},
-		"outage":         {faults: stand.Faults{Outage: true}, err: store.Unavailable},
-		"lost answer":    {faults: stand.Faults{LostAnswers: 1}, err: store.Unavailable, took: true},
-		"over the rate":  {rates: stand.Rates{Writes: 1}, err: store.Limited},
-		"value too long": {value: store.MaxValue + 1, err: store.Invalid},
+		"no fault":            {written: true},
+		"outage":              {faults: stand.Faults{Outage: true}, err: store.Unavailable},
+		"response lost":       {faults: stand.Faults{LostAnswers: 1}, err: store.Unavailable, written: true},
+		"over the rate limit": {rates: stand.Rates{Writes: 1}, err: store.Limited},
+		"value too long":      {value: store.MaxValue + 1, err: store.Invalid},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -87,13 +87,13 @@
 			}
 			platform.KV.SetFaults(stand.Faults{})
 			_, err = client.Get(t.Context(), "k")
-			assert.Equal(t, err == nil, tc.took, "%v", err)
+			assert.Equal(t, err == nil, tc.written, "%v", err)
 		})
 	}
 }
 
-func TestWatchThatEndsIsSeen(t *testing.T) {
-	// A watch is cut by the service. Its reader must hear of it, or it would take silence for "no change" for good.
+func TestWatchChannelClosesWhenServiceCutsIt(t *testing.T) {
+	// The service cuts a watch. If the channel stayed open, its reader would take the silence for "no change" forever.
 	platform, client, server := newService(t, stand.Rates{})
 	changes, err := client.Watch(t.Context(), "p/", 0)
 	assert.NilError(t, err)
@@ -111,7 +111,7 @@
 	assert.Assert(t, !open)
 }
 
-func TestLeaseEndsWithItsPairs(t *testing.T) {
+func TestRevokedLeaseRemovesItsKeys(t *testing.T) {
 	platform, client, _ := newService(t, stand.Rates{})
 	lease, err := client.Grant(t.Context(), time.Second)
 	assert.NilError(t, err)
--- a/internal/store/wire.go
+++ b/internal/store/wire.go
@@ -1,14 +1,14 @@
 package store
 
-// The messages of the etcd version 3 JSON protocol that are used here. Bytes travel as base64 and 64-bit numbers as
-// strings, as the protocol's JSON mapping wants it.
+// This file declares those messages of the etcd version 3 JSON protocol that the client uses. The protocol's JSON mapping
+// encodes bytes as base64 and 64-bit numbers as strings.
 
 // Header carries the service's revision.
 type Header struct {
 	Revision int64 `json:"revision,string"`
 }
 
-// KeyValue is a pair on the wire.
+// KeyValue is the encoded form of a Pair.
 type KeyValue struct {
 	Key         []byte `json:"key"`
 	Value       []byte `json:"value,omitempty"`
@@ -20,20 +20,20 @@
 	return Pair{Key: string(kv.Key), Value: kv.Value, Revision: kv.ModRevision, Lease: LeaseID(kv.Lease)}
 }
 
-// RangeRequest reads a key, or all from Key up to RangeEnd.
+// RangeRequest reads one key, or all keys from Key up to but not including RangeEnd.
 type RangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 	Limit    int64  `json:"limit,string,omitempty"`
 }
 
-// RangeAnswer is what a range holds.
+// RangeAnswer is the response to a RangeRequest.
 type RangeAnswer struct {
 	Header Header     `json:"header"`
 	Kvs    []KeyValue `json:"kvs"`
 }
 
-// Compare is the condition of a transaction.
+// Compare is a condition of a transaction.
 type Compare struct {
 	Key         []byte `json:"key"`
 	Target      string `json:"target"`
@@ -53,37 +53,39 @@
 	Key []byte `json:"key"`
 }
 
-// Op is one step of a transaction.
+// Op is one operation of a transaction, a put or a deletion.
 type Op struct {
 	Put    *PutRequest    `json:"request_put,omitempty"`
 	Delete *DeleteRequest `json:"request_delete_range,omitempty"`
 }
 
-// TxnRequest runs Success if all of Compare holds.
+// TxnRequest runs the operations in Success if all conditions in Compare hold.
 type TxnRequest struct {
 	Compare []Compare `json:"compare"`
 	Success []Op      `json:"success"`
 }
 
-// TxnAnswer tells whether the transaction ran.
+// TxnAnswer is the response to a TxnRequest; Succeeded reports whether the operations ran.
 type TxnAnswer struct {
 	Header    Header `json:"header"`
 	Succeeded bool   `json:"succeeded"`
 }
 
-// LeaseRequest grants, renews or revokes a lease. TTL is in seconds.
+// LeaseRequest grants, renews or revokes a lease.
 type LeaseRequest struct {
-	ID  int64 `json:"ID,string,omitempty"`
+	ID int64 `json:"ID,string,omitempty"`
+	// TTL is the time to live in seconds.
 	TTL int64 `json:"TTL,string,omitempty"`
 }
 
-// LeaseAnswer names a lease and what is left of it in seconds.
+// LeaseAnswer is the response to a LeaseRequest.
 type LeaseAnswer struct {
-	ID  int64 `json:"ID,string"`
+	ID int64 `json:"ID,string"`
+	// TTL is the remaining time to live in seconds. It is not positive if the lease no longer exists.
 	TTL int64 `json:"TTL,string"`
 }
 
-// KeepAliveAnswer answers a renewal.
+// KeepAliveAnswer is the response to a renewal.
 type KeepAliveAnswer struct {
 	Result LeaseAnswer `json:"result"`
 }
@@ -93,14 +95,15 @@
 	Create WatchCreate `json:"create_request"`
 }
 
-// WatchCreate names what to watch; a StartRevision of 0 means from now on.
+// WatchCreate selects the keys to watch, all from Key up to but not including RangeEnd.
 type WatchCreate struct {
-	Key           []byte `json:"key"`
-	RangeEnd      []byte `json:"range_end,omitempty"`
-	StartRevision int64  `json:"start_revision,string,omitempty"`
+	Key      []byte `json:"key"`
+	RangeEnd []byte `json:"range_end,omitempty"`
+	// StartRevision is the first revision to report; 0 means from now on.
+	StartRevision int64 `json:"start_revision,string,omitempty"`
 }
 
-// EventDelete is the type of a removal; writes have none.
+// EventDelete is the type of a removal. The type of a write is empty.
 const EventDelete = "DELETE"
 
 // WatchEvent is one change.
@@ -109,7 +112,7 @@
 	Kv   KeyValue `json:"kv"`
 }
 
-// WatchResult is a batch of changes.
+// WatchResult is a batch of changes, or the start or end of a watch.
 type WatchResult struct {
 	Header   Header       `json:"header"`
 	Created  bool         `json:"created,omitempty"`
@@ -117,12 +120,12 @@
 	Events   []WatchEvent `json:"events,omitempty"`
 }
 
-// WatchAnswer wraps a batch.
+// WatchAnswer is one message of the response stream of a watch.
 type WatchAnswer struct {
 	Result WatchResult `json:"result"`
 }
 
-// Status is the body of an error.
+// Status is the body of an error response.
 type Status struct {
 	Code    int    `json:"code"`
 	Message string `json:"message"`
