--- a/internal/admit/account.go
+++ b/internal/admit/account.go
@@ -45,7 +45,7 @@
 func (st *State) Admit(now time.Time, name string, org decl.Organisation, tokens int64) *effect.Refusal {
 	acc, share := st.account(now, name, org.Limits)
 	lim := org.Limits
-	acc.recordOffered(now, tokens, st.TellPeriod())
+	acc.recordOffered(now, tokens, st.DemandPeriod())
 	if wait := acc.wait(lim, tokens, share); wait > 0 {
 		return limitRefusal(wait, "slow down to the declared rate")
 	}
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -240,7 +240,7 @@
 					st.Take(it)
 					out(it.ID)
 				}
-				st.Blocked(now, "lyric")
+				st.MarkBlocked(now, "lyric")
 			},
 			"remove": func(t *rapid.T) {
 				id := event.RequestID(rapid.IntRange(0, next).Draw(t, "id"))
--- a/internal/admit/bench_test.go
+++ b/internal/admit/bench_test.go
@@ -91,7 +91,7 @@
 			return
 		}
 		it := sim.st.Head(at, "lyric")
-		sim.st.Blocked(at, "lyric")
+		sim.st.MarkBlocked(at, "lyric")
 		if it == nil {
 			return
 		}
--- a/internal/admit/share.go
+++ b/internal/admit/share.go
@@ -36,8 +36,8 @@
 	at   time.Time
 }
 
-// TellPeriod returns the time between two reports of demand.
-func (st *State) TellPeriod() time.Duration {
+// DemandPeriod returns the time between two reports of demand.
+func (st *State) DemandPeriod() time.Duration {
 	return max(minDemandPeriod, time.Duration(st.Instances)*demandPeriodPerInstance)
 }
 
@@ -92,17 +92,17 @@
 		if lim == (decl.Limits{}) {
 			continue
 		}
-		acc.decayOffered(now, st.TellPeriod())
-		if part := acc.demandedPart(lim, st.TellPeriod()); part > minPart {
-			demands = append(demands, event.Demand{Organisation: name, Part: float32(part)})
+		acc.decayOffered(now, st.DemandPeriod())
+		if part := acc.demandedPart(lim, st.DemandPeriod()); part > minPart {
+			demands = append(demands, event.Demand{Organisation: name, Fraction: float32(part)})
 		}
 	}
 	slices.SortFunc(demands, func(a, b event.Demand) int { return cmp.Compare(a.Organisation, b.Organisation) })
 	return demands
 }
 
-// ShareOut records the demands that an instance reports and returns its shares of the limits.
-func (st *State) ShareOut(now time.Time, from string, demands []event.Demand) []event.Share {
+// AllocateShares records the demands that an instance reports and returns its shares of the limits.
+func (st *State) AllocateShares(now time.Time, from string, demands []event.Demand) []event.Share {
 	shares := make([]event.Share, 0, len(demands))
 	for _, dem := range demands {
 		byInstance, ok := st.demands[dem.Organisation]
@@ -110,8 +110,8 @@
 			byInstance = map[string]demand{}
 			st.demands[dem.Organisation] = byInstance
 		}
-		byInstance[from] = demand{part: float64(dem.Part), at: now}
-		shares = append(shares, event.Share{Organisation: dem.Organisation, Part: float32(st.allocation(now, byInstance, from))})
+		byInstance[from] = demand{part: float64(dem.Fraction), at: now}
+		shares = append(shares, event.Share{Organisation: dem.Organisation, Fraction: float32(st.allocation(now, byInstance, from))})
 	}
 	return shares
 }
@@ -120,7 +120,7 @@
 func (st *State) allocation(now time.Time, byInstance map[string]demand, from string) float64 {
 	var total float64
 	for name, dem := range byInstance {
-		if now.Sub(dem.at) > shareTTLPeriods*st.TellPeriod() {
+		if now.Sub(dem.at) > shareTTLPeriods*st.DemandPeriod() {
 			delete(byInstance, name)
 			continue
 		}
@@ -133,23 +133,23 @@
 	return equalFraction*equal + (1-equalFraction)*byInstance[from].part/total
 }
 
-// TakeShares sets the shares of the limits that were allocated to this instance.
-func (st *State) TakeShares(now time.Time, shares []event.Share) {
+// ApplyShares sets the shares of the limits that were allocated to this instance.
+func (st *State) ApplyShares(now time.Time, shares []event.Share) {
 	for _, sh := range shares {
 		acc, ok := st.orgs[sh.Organisation]
-		if !ok || sh.Part <= 0 {
+		if !ok || sh.Fraction <= 0 {
 			continue
 		}
-		acc.share = min(1, float64(sh.Part))
-		acc.shareUntil = now.Add(shareTTLPeriods * st.TellPeriod())
+		acc.share = min(1, float64(sh.Fraction))
+		acc.shareUntil = now.Add(shareTTLPeriods * st.DemandPeriod())
 	}
 }
 
-// ForgetDemands removes the expired demands and the organisations that have none left.
-func (st *State) ForgetDemands(now time.Time) {
+// DropExpiredDemands removes the expired demands and the organisations that have none left.
+func (st *State) DropExpiredDemands(now time.Time) {
 	for name, byInstance := range st.demands {
 		for from, dem := range byInstance {
-			if now.Sub(dem.at) > shareTTLPeriods*st.TellPeriod() {
+			if now.Sub(dem.at) > shareTTLPeriods*st.DemandPeriod() {
 				delete(byInstance, from)
 			}
 		}
--- a/internal/admit/share_test.go
+++ b/internal/admit/share_test.go
@@ -43,7 +43,7 @@
 	for gr.now.Before(end) {
 		gr.now = gr.now.Add(time.Duration(gr.random.ExpFloat64() / rate * float64(time.Second)))
 		for gr.connected && !gr.now.Before(nextExchange) {
-			nextExchange = nextExchange.Add(gr.instances[0].TellPeriod())
+			nextExchange = nextExchange.Add(gr.instances[0].DemandPeriod())
 			gr.exchangeDemands()
 		}
 		st := gr.instances[choose()]
@@ -60,7 +60,7 @@
 func (gr *instanceGroup) exchangeDemands() {
 	for i, st := range gr.instances {
 		demands := st.Demands(gr.now, map[string]decl.Organisation{"parish": gr.org})
-		st.TakeShares(gr.now, gr.instances[0].ShareOut(gr.now, fmt.Sprint(i), demands))
+		st.ApplyShares(gr.now, gr.instances[0].AllocateShares(gr.now, fmt.Sprint(i), demands))
 	}
 }
 
@@ -119,8 +119,8 @@
 	for round := range 2 {
 		total = 0
 		for i, part := range []float32{0.7, 0.2, 0, 0.1} {
-			shares := st.ShareOut(start.Add(time.Duration(round)*time.Second), fmt.Sprint(i), []event.Demand{{Organisation: "parish", Part: part}})
-			total += shares[0].Part
+			shares := st.AllocateShares(start.Add(time.Duration(round)*time.Second), fmt.Sprint(i), []event.Demand{{Organisation: "parish", Fraction: part}})
+			total += shares[0].Fraction
 		}
 	}
 	assert.Assert(t, total > 0.999 && total < 1.001, "%g", total)
--- a/internal/admit/wait.go
+++ b/internal/admit/wait.go
@@ -24,9 +24,9 @@
 	rate float64
 }
 
-// Blocked updates the drain rates of the service's classes. Call it when no waiting item of the service finds a replica,
+// MarkBlocked updates the drain rates of the service's classes. Call it when no waiting item of the service finds a replica,
 // and when no item waits any more.
-func (st *State) Blocked(now time.Time, service string) {
+func (st *State) MarkBlocked(now time.Time, service string) {
 	qu, ok := st.queues[service]
 	if !ok {
 		return
--- a/internal/conf/follow.go
+++ b/internal/conf/follow.go
@@ -55,7 +55,7 @@
 	// membersChanged signals that members was replaced.
 	membersChanged chan struct{}
 	// announced holds one announcement that has not been handled yet; further ones are dropped while it is full.
-	announced chan wire.ConfigNews
+	announced chan wire.ConfigAnnouncement
 
 	// version is cfg.Version, readable without the lock.
 	version atomic.Int64
@@ -77,7 +77,7 @@
 		self:           self,
 		accept:         accept,
 		membersChanged: make(chan struct{}, 1),
-		announced:      make(chan wire.ConfigNews, 1),
+		announced:      make(chan wire.ConfigAnnouncement, 1),
 		cfg:            &decl.Config{},
 	}
 	fl.members.Store(&[]event.Instance{})
@@ -116,9 +116,9 @@
 	return fl.version.Load()
 }
 
-// Watches reports whether this instance is one of its failure domain's watchers. Each instance decides this from its
+// IsWatcher reports whether this instance is one of its failure domain's watchers. Each instance decides this from its
 // own list of members; while the lists differ, a domain may have more or fewer watchers than WatchersPerDomain.
-func (fl *Follower) Watches() bool {
+func (fl *Follower) IsWatcher() bool {
 	if fl.Transport == nil {
 		return true
 	}
@@ -158,7 +158,7 @@
 			// for seconds.
 			_ = fl.catchUp(ctx)
 		}
-		if fl.Watches() {
+		if fl.IsWatcher() {
 			fl.watchStore(ctx)
 		} else {
 			fl.followPeers(ctx)
@@ -183,7 +183,7 @@
 	}
 	poll := time.NewTicker(pollPeriod)
 	defer poll.Stop()
-	for fl.Watches() && err == nil {
+	for fl.IsWatcher() && err == nil {
 		select {
 		case <-ctx.Done():
 			return
@@ -217,7 +217,7 @@
 
 // followPeers polls peers until this instance is a watcher. Announcements are handled by fetchAnnounced.
 func (fl *Follower) followPeers(ctx context.Context) {
-	for ctx.Err() == nil && !fl.Watches() {
+	for ctx.Err() == nil && !fl.IsWatcher() {
 		timer := time.NewTimer(fl.pollDelay())
 		select {
 		case <-ctx.Done():
@@ -317,7 +317,7 @@
 	if fl.Transport == nil {
 		return
 	}
-	news := wire.ConfigNews{Version: version, Teller: fl.self.Peer}
+	news := wire.ConfigAnnouncement{Version: version, Teller: fl.self.Peer}
 	for _, inst := range fl.samplePeers(localFanout, true) {
 		fl.Transport.Tell(inst.Peer, news)
 	}
@@ -341,12 +341,12 @@
 // Handle answers a peer's message about the configuration. It returns nil for any other message.
 func (fl *Follower) Handle(msg wire.Message) wire.Message {
 	switch msg := msg.(type) {
-	case wire.ConfigNews:
+	case wire.ConfigAnnouncement:
 		if msg.Version > fl.Version() {
 			trySend(fl.announced, msg)
 		}
 		return wire.Ack{}
-	case wire.ConfigWant:
+	case wire.ConfigRequest:
 		return fl.patchesAfter(msg.After)
 	}
 	return nil
@@ -399,7 +399,7 @@
 
 // fetch queries the announcing peer until the announced version is in force or the peer has nothing more, so that a
 // wrong announcement does not keep it in a loop.
-func (fl *Follower) fetch(ctx context.Context, news wire.ConfigNews) {
+func (fl *Follower) fetch(ctx context.Context, news wire.ConfigAnnouncement) {
 	for news.Version > fl.Version() {
 		before := fl.Version()
 		if !fl.queryPeer(ctx, news.Teller) || fl.Version() == before {
@@ -444,7 +444,7 @@
 func (fl *Follower) queryPeer(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	answer, err := fl.Transport.Ask(ctx, address, wire.ConfigWant{After: fl.Version()})
+	answer, err := fl.Transport.Ask(ctx, address, wire.ConfigRequest{After: fl.Version()})
 	if err != nil {
 		return false
 	}
--- a/internal/conf/follow_test.go
+++ b/internal/conf/follow_test.go
@@ -189,7 +189,7 @@
 		ft.net.dropTells.Store(true)
 		late := ft.start("entry-3", "a")
 		time.Sleep(4 * time.Second)
-		assert.Assert(t, !late.Watches())
+		assert.Assert(t, !late.IsWatcher())
 		assert.Equal(t, late.Version(), int64(5))
 	})
 }
--- a/internal/core/arrive.go
+++ b/internal/core/arrive.go
@@ -49,10 +49,10 @@
 	}
 	class, ok := st.table.classOf(ev.PromptTokens)
 	if !ok {
-		return notRunRefusal(effect.ReasonTooLong, 0, "shorten the prompt to what the longest length class allows")
+		return notRunRefusal(effect.ReasonPromptTooLong, 0, "shorten the prompt to what the longest length class allows")
 	}
 	if st.exceedsEngineMemory(ev, class) {
-		return notRunRefusal(effect.ReasonTooLong, 0, "shorten the prompt or the answer; together they are larger than one engine's memory")
+		return notRunRefusal(effect.ReasonPromptTooLong, 0, "shorten the prompt or the answer; together they are larger than one engine's memory")
 	}
 	if refusal := st.checkQuarantine(ev.Digest); refusal != nil {
 		return refusal
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -112,7 +112,7 @@
 	}
 	send := rb.running[0]
 	rb.running = rb.running[1:]
-	rb.reduce(event.Answering{ID: send.ID, Attempt: send.Attempt})
+	rb.reduce(event.AnswerStarted{ID: send.ID, Attempt: send.Attempt})
 	rb.reduce(event.AttemptEnded{ID: send.ID, Attempt: send.Attempt, Upstream: send.Upstreams[0].Name, Result: event.ResultDone, Offset: 100})
 }
 
--- a/internal/core/claim.go
+++ b/internal/core/claim.go
@@ -55,7 +55,7 @@
 	if out.Known && out.Truncated {
 		// The start of an answer must not be returned as the complete one.
 		st.finish(req, &effect.Refusal{
-			Reason: effect.ReasonAnswerGone,
+			Reason: effect.ReasonAnswerNotKept,
 			Ran:    effect.HasRun,
 			Remedy: "the first request with this key ran and was answered; its answer was too long or too old to keep",
 		})
--- a/internal/core/conserve_test.go
+++ b/internal/core/conserve_test.go
@@ -117,7 +117,7 @@
 			},
 			"answering": func(t *rapid.T) {
 				if id, ok := pickOne(t, last, sent); ok {
-					fs.reduce(t, event.Answering{ID: id, Attempt: fs.sends[id].Attempt})
+					fs.reduce(t, event.AnswerStarted{ID: id, Attempt: fs.sends[id].Attempt})
 				}
 			},
 			"end": func(t *rapid.T) {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -42,7 +42,7 @@
 func (in *instance) reduce(ev event.Event) []effect.Effect {
 	var effects []effect.Effect
 	for _, eff := range in.st.Reduce(in.now, ev) {
-		if _, ok := eff.(effect.Note); !ok {
+		if _, ok := eff.(effect.CountAndLog); !ok {
 			effects = append(effects, eff)
 		}
 	}
@@ -85,7 +85,7 @@
 	}
 	assert.Equal(t, resumed.Offset, int64(3))
 	assert.Assert(t, resumed.Upstreams[0].Name != sent.Upstreams[0].Name)
-	assert.Assert(t, resumed.Fresh)
+	assert.Assert(t, resumed.NewConnection)
 }
 
 func TestNonIdempotentNeverSentTwice(t *testing.T) {
@@ -93,7 +93,7 @@
 	// must not be sent again, and the refusal must report "unknown" and not "not run".
 	cases := map[string]struct {
 		result event.Result
-		ran    effect.Ran
+		ran    effect.RunState
 	}{
 		"failed before an answer": {event.ResultFailed, effect.Unknown},
 		"silent":                  {event.ResultSilent, effect.Unknown},
@@ -162,7 +162,7 @@
 	// otherwise an engine is sent megabytes that it can only refuse.
 	in := newInstance(t)
 	finish := only[effect.Finish](t, in.arrive(event.Arrived{Service: "lyric", PromptTokens: 400_000, MaxTokens: 1, Idempotent: true}))
-	assert.Equal(t, finish.Refusal.Reason, effect.ReasonTooLong)
+	assert.Equal(t, finish.Refusal.Reason, effect.ReasonPromptTooLong)
 	assert.Equal(t, finish.Refusal.Ran, effect.NotRun)
 }
 
@@ -177,7 +177,7 @@
 		})
 	}
 	finish := only[effect.Finish](t, last)
-	assert.Equal(t, finish.Refusal.Reason, effect.ReasonBusy)
+	assert.Equal(t, finish.Refusal.Reason, effect.ReasonOverloaded)
 	assert.Equal(t, finish.Refusal.Ran, effect.NotRun)
 	assert.Assert(t, finish.Refusal.RetryAfter >= time.Second)
 }
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -20,7 +20,7 @@
 func (st *State) dispatch(service string) {
 	for st.dispatchNext(service) {
 	}
-	st.Admit.Blocked(st.now, service)
+	st.Admit.MarkBlocked(st.now, service)
 }
 
 // dispatchNext sends, or ends for want of time, one of the requests that are next in the service's queue. It reports
@@ -49,7 +49,7 @@
 const queuedAfter = 2 * event.TickPeriod
 
 // pickCriteria returns what the request needs of a replica, with the replicas to avoid.
-func (st *State) pickCriteria(req *Request) route.Want {
+func (st *State) pickCriteria(req *Request) route.PickCriteria {
 	want := st.requestLoad(req)
 	want.Tried = req.Tried
 	if req.Suspect = st.isSuspect(req); req.Suspect {
@@ -59,17 +59,17 @@
 }
 
 // requestLoad returns what the request needs of a replica, without the replicas to avoid.
-func (st *State) requestLoad(req *Request) route.Want {
-	return route.Want{
-		ID:         req.ID,
-		Service:    req.Service,
-		Model:      req.Model,
-		Prompt:     req.PromptTokens,
-		Answer:     req.MaxTokens,
-		Level:      req.level,
-		Above:      req.above,
-		Repeatable: st.repeatable(req),
-		Prefixes:   req.Prefixes,
+func (st *State) requestLoad(req *Request) route.PickCriteria {
+	return route.PickCriteria{
+		ID:            req.ID,
+		Service:       req.Service,
+		Model:         req.Model,
+		Prompt:        req.PromptTokens,
+		Answer:        req.MaxTokens,
+		Level:         req.level,
+		HigherClasses: req.above,
+		Repeatable:    st.repeatable(req),
+		Prefixes:      req.Prefixes,
 	}
 }
 
@@ -83,20 +83,20 @@
 	// Several engines prefill equal parts of the prompt.
 	load.Prompt = (load.Prompt + int64(len(upstreams)) - 1) / int64(len(upstreams))
 	for _, up := range upstreams {
-		st.Route.Sent(st.now, up.Name, &load)
+		st.Route.RecordSent(st.now, up.Name, &load)
 	}
 	st.emit(effect.Send{
-		ID:        req.ID,
-		Attempt:   req.Attempt,
-		Upstreams: upstreams,
-		Offset:    req.Offset,
-		Priority:  st.priority(req),
-		Permit:    req.Permit,
-		Fresh:     !st.repeatable(req) || req.Attempt > 1,
-		Deadline:  req.Deadline,
-		Silence:   st.service(req).ProgressTimeout.Std(),
+		ID:              req.ID,
+		Attempt:         req.Attempt,
+		Upstreams:       upstreams,
+		Offset:          req.Offset,
+		Priority:        st.priority(req),
+		Permit:          req.Permit,
+		NewConnection:   !st.repeatable(req) || req.Attempt > 1,
+		Deadline:        req.Deadline,
+		ProgressTimeout: st.service(req).ProgressTimeout.Std(),
 
-		FirstSilence: st.firstSilence(req, upstreams),
+		FirstProgressTimeout: st.firstSilence(req, upstreams),
 	})
 }
 
@@ -121,14 +121,14 @@
 	return svc.ProgressTimeout.Std() + time.Duration(seconds*float64(time.Second))
 }
 
-func (st *State) handleAnswering(ev event.Answering) {
+func (st *State) handleAnswering(ev event.AnswerStarted) {
 	req, ok := st.Requests[ev.ID]
 	if !ok || ev.Attempt != req.Attempt {
 		return
 	}
 	req.Answered = true
 	for _, up := range req.Upstreams {
-		st.Route.Answering(st.now, up.Name, req.ID)
+		st.Route.RecordFirstToken(st.now, up.Name, req.ID)
 		st.markAlive(up.Name, st.now)
 	}
 }
--- a/internal/core/member.go
+++ b/internal/core/member.go
@@ -11,10 +11,10 @@
 		return
 	}
 	st.effects = append(st.effects, st.Member.Reduce(st.now, ev)...)
-	for _, word := range st.Member.Left {
+	for _, word := range st.Member.LeavingUpstreams {
 		st.markUpstreamLeaving(word)
 	}
-	st.Member.Left = st.Member.Left[:0]
+	st.Member.LeavingUpstreams = st.Member.LeavingUpstreams[:0]
 	if st.Member.Changed {
 		st.Member.Changed = false
 		st.setInstances(st.Member.Instances())
@@ -24,10 +24,10 @@
 
 // markUpstreamLeaving applies a peer's report that an upstream is leaving, which may arrive before the platform's list
 // shows it here.
-func (st *State) markUpstreamLeaving(word event.Word) {
+func (st *State) markUpstreamLeaving(word event.StatusUpdate) {
 	rep, ok := st.Route.Replicas[word.Name]
 	if ok && member.AddressHash(rep.Upstream.Address) == word.Incarnation {
-		st.Route.Leave(rep)
+		st.Route.MarkLeaving(rep)
 	}
 }
 
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -33,17 +33,17 @@
 
 // FuzzPeer passes arbitrary messages of peers to the reducer, as the shell does, and advances time after each.
 func FuzzPeer(f *testing.F) {
-	words := []event.Word{{Name: "entry-1", State: event.WordDead}, {Name: "entry-0", State: event.WordSuspect, Incarnation: 9}}
+	words := []event.StatusUpdate{{Name: "entry-1", State: event.StatusDead}, {Name: "entry-0", State: event.StatusSuspect, Incarnation: 9}}
 	for _, msg := range []wire.Message{
 		wire.Probe{From: "entry-1", Peer: "127.0.0.1:2", For: "entry-1", Words: words},
 		wire.ProbeAck{From: "entry-1", Seq: 1, Words: words},
 		wire.Gossip{Words: words},
-		wire.PermitAsk{Request: "r~1", Peer: "127.0.0.1:2", Service: "lyric", FailureDomain: "a", Tokens: 900_000, Wait: time.Second},
-		wire.PermitAsk{Request: "r~1", Service: "lyric", FailureDomain: "a", Tokens: -1, Upstreams: []string{"lyric-0", "", "x"}},
+		wire.PermitRequest{Request: "r~1", Peer: "127.0.0.1:2", Service: "lyric", FailureDomain: "a", Tokens: 900_000, Wait: time.Second},
+		wire.PermitRequest{Request: "r~1", Service: "lyric", FailureDomain: "a", Tokens: -1, Upstreams: []string{"lyric-0", "", "x"}},
 		wire.PermitGrant{Request: "~1", Granted: true, Upstreams: []string{"nowhere"}},
 		wire.PermitReturn{Request: "r~1", Service: "lyric", FailureDomain: "a"},
 		wire.PermitRenew{Requests: []string{"r~1", "r~2"}, Service: "lyric", FailureDomain: "a"},
-		wire.PermitState{From: "entry-0", Unknown: []string{"~1"}},
+		wire.PermitStatus{From: "entry-0", Unknown: []string{"~1"}},
 	} {
 		raw, err := wire.Encode(msg)
 		assert.NilError(f, err)
--- a/internal/core/permit.go
+++ b/internal/core/permit.go
@@ -30,8 +30,8 @@
 		pools:       map[permit.Pool][]*route.Replica{},
 	}
 	pm.coordinator.Engines = st.poolEngines
-	pm.coordinator.Gone = st.holderEnded
-	pm.coordinator.Listed = st.holderListed
+	pm.coordinator.HolderGone = st.holderEnded
+	pm.coordinator.HolderListed = st.holderListed
 	pm.coordinator.Upstream = func(name string) (event.Upstream, bool) {
 		rep, ok := st.Route.Replicas[name]
 		if !ok {
@@ -47,7 +47,7 @@
 	memory := st.Config.Services[key.Service].MemoryTokens
 	var engines []permit.Engine
 	for _, rep := range st.permits.pools[key] {
-		if rep.Gone || rep.Upstream.Leaving || st.now.Before(rep.EjectedUntil) {
+		if rep.Unlisted || rep.Upstream.Leaving || st.now.Before(rep.EjectedUntil) {
 			continue
 		}
 		engine := permit.Engine{Upstream: rep.Upstream, Memory: memory, Queued: rep.Report.QueuedTokens}
@@ -65,7 +65,7 @@
 		return incarnation < st.Options.Incarnation
 	}
 	mb, ok := st.Member.Members[name]
-	return ok && (mb.State == event.WordDead || mb.After(incarnation))
+	return ok && (mb.State == event.StatusDead || mb.RestartedSince(incarnation))
 }
 
 // holderListed reports whether the membership knows the named instance.
@@ -76,7 +76,7 @@
 
 // handlePeerOpened records this instance's own peer address, so that it can coordinate pools and be answered before the
 // platform lists it.
-func (st *State) handlePeerOpened(ev event.PeerOpened) {
+func (st *State) handlePeerOpened(ev event.PeerListening) {
 	if st.Member != nil && st.Member.Self.Peer == "" {
 		st.Member.Self.Peer = ev.Address
 		st.Member.Changed = true
@@ -138,7 +138,7 @@
 func (st *State) askPermit(req *Request) {
 	req.Phase = PhasePermit
 	if st.permits == nil {
-		st.emit(effect.AskPermit{
+		st.emit(effect.RequestPermit{
 			ID: req.ID, Service: req.Service, FailureDomain: st.Options.FailureDomain, Organisation: req.Organisation,
 			Tokens: req.Tokens(), Class: req.Class.Name, Priority: req.Class.Priority, Deadline: req.Deadline,
 		})
@@ -154,8 +154,8 @@
 		st.finish(req, st.failureRefusal(req, effect.ReasonNoUpstream, "try again; no replica of the service is live"))
 		return
 	}
-	req.requestedPermit = st.Options.RequestName(req.ID) + effect.PermitMark + strconv.Itoa(req.Attempt+1)
-	ask := event.PermitAsked{
+	req.requestedPermit = st.Options.RequestName(req.ID) + effect.PermitSeparator + strconv.Itoa(req.Attempt+1)
+	ask := event.PermitRequested{
 		Request:      req.requestedPermit,
 		Service:      req.Service,
 		Organisation: req.Organisation,
@@ -215,7 +215,7 @@
 		return
 	}
 	if !ev.Granted {
-		st.finish(req, st.failureRefusal(req, effect.ReasonBusy, "send it again later; the long prompts ahead fill the engines"))
+		st.finish(req, st.failureRefusal(req, effect.ReasonOverloaded, "send it again later; the long prompts ahead fill the engines"))
 		return
 	}
 	req.Permit = ev.Permit
@@ -243,7 +243,7 @@
 		st.queueForReplica(req)
 		return
 	}
-	st.finish(req, st.failureRefusal(req, effect.ReasonBusy, "send it again; no instance that reserves several engines can be reached"))
+	st.finish(req, st.failureRefusal(req, effect.ReasonOverloaded, "send it again; no instance that reserves several engines can be reached"))
 }
 
 // releaseLateGrant releases a permit that was granted after its request had ended.
--- a/internal/core/poison.go
+++ b/internal/core/poison.go
@@ -22,13 +22,13 @@
 // quarantine records the digests of the requests that were in flight on upstreams that broke off. Crashes are counted by
 // content, since a caller resends a request under a new ID.
 type quarantine struct {
-	byDigest map[event.Digest]event.Quarantined
+	byDigest map[event.Digest]event.QuarantineReported
 	// deadSince holds the upstreams that crashed and have shown no sign of life since.
 	deadSince map[string]time.Time
 }
 
 func newQuarantine() quarantine {
-	return quarantine{byDigest: map[event.Digest]event.Quarantined{}, deadSince: map[string]time.Time{}}
+	return quarantine{byDigest: map[event.Digest]event.QuarantineReported{}, deadSince: map[string]time.Time{}}
 }
 
 func (st *State) checkQuarantine(digest event.Digest) *effect.Refusal {
@@ -62,11 +62,11 @@
 		entry.Until = st.now.Add(quarantineTTL)
 	}
 	st.storeDeaths(entry)
-	st.emit(effect.TellQuarantine{Quarantined: entry})
+	st.emit(effect.AnnounceQuarantine{Quarantined: entry})
 	if entry.Deaths < deathsToQuarantine {
 		return nil
 	}
-	st.emit(effect.Note{Counter: "Requests.Quarantined", Line: "request quarantined: upstreams broke off while running it", Subject: req.Organisation})
+	st.emit(effect.CountAndLog{Counter: "Requests.Quarantined", LogMessage: "request quarantined: upstreams broke off while running it", Subject: req.Organisation})
 	return &effect.Refusal{
 		Reason: effect.ReasonQuarantine,
 		Ran:    effect.HasRun,
@@ -124,14 +124,14 @@
 	return names
 }
 
-func (st *State) handleQuarantined(ev event.Quarantined) {
+func (st *State) handleQuarantined(ev event.QuarantineReported) {
 	known := st.poison.byDigest[ev.Digest]
 	if ev.Deaths > known.Deaths || ev.Until.After(known.Until) {
 		st.storeDeaths(ev)
 	}
 }
 
-func (st *State) storeDeaths(entry event.Quarantined) {
+func (st *State) storeDeaths(entry event.QuarantineReported) {
 	if len(st.poison.byDigest) >= maxQuarantineEntries {
 		st.dropExpiredDeaths()
 	}
@@ -150,9 +150,9 @@
 	}
 }
 
-// Quarantine returns the entries of the digests that are refused now.
-func (st *State) Quarantine() []event.Quarantined {
-	var refused []event.Quarantined
+// QuarantinedDigests returns the entries of the digests that are refused now.
+func (st *State) QuarantinedDigests() []event.QuarantineReported {
+	var refused []event.QuarantineReported
 	for _, entry := range st.poison.byDigest {
 		if entry.Deaths >= deathsToQuarantine && st.now.Before(entry.Until) {
 			refused = append(refused, entry)
@@ -161,9 +161,9 @@
 	return refused
 }
 
-// Deaths returns the entries of the digests that are suspect or quarantined now.
-func (st *State) Deaths() []event.Quarantined {
-	var known []event.Quarantined
+// SuspectDigests returns the entries of the digests that are suspect or quarantined now.
+func (st *State) SuspectDigests() []event.QuarantineReported {
+	var known []event.QuarantineReported
 	for _, entry := range st.poison.byDigest {
 		if st.now.Before(entry.Until) {
 			known = append(known, entry)
--- a/internal/core/retry.go
+++ b/internal/core/retry.go
@@ -54,8 +54,8 @@
 		if up.Name == ev.Upstream && !st.connectAbandoned(req, ev) {
 			result = ev.Result
 		}
-		if st.Route.Ended(st.now, up.Name, req.ID, ev.Offset-req.Offset, result) {
-			st.emit(effect.Note{Counter: "Upstreams.Ejected", Line: "upstream ejected after failures in a row", Subject: up.Name})
+		if st.Route.RecordEnd(st.now, up.Name, req.ID, ev.Offset-req.Offset, result) {
+			st.emit(effect.CountAndLog{Counter: "Upstreams.Ejected", LogMessage: "upstream ejected after failures in a row", Subject: up.Name})
 		}
 	}
 	if ev.Result == event.ResultSilent {
--- a/internal/core/retry_test.go
+++ b/internal/core/retry_test.go
@@ -46,7 +46,7 @@
 	in.engines("lyric-0", "lyric-1", "lyric-2")
 	sent := only[effect.Send](t, in.lyric(1, 7))
 	first := in.reduce(event.AttemptEnded{ID: 1, Attempt: 1, Upstream: sent.Upstreams[0].Name, Result: event.ResultFailed})
-	reported, ok := find[effect.TellQuarantine](first)
+	reported, ok := find[effect.AnnounceQuarantine](first)
 	assert.Assert(t, ok)
 	assert.Equal(t, reported.Quarantined.Deaths, 1)
 	again, ok := find[effect.Send](first)
@@ -67,7 +67,7 @@
 	sent := only[effect.Send](t, in.lyric(1, 7))
 	for attempt := 1; attempt <= 3; attempt++ {
 		effects := in.reduce(event.AttemptEnded{ID: 1, Attempt: attempt, Upstream: sent.Upstreams[0].Name, Result: event.ResultFailed, Alive: true})
-		_, reported := find[effect.TellQuarantine](effects)
+		_, reported := find[effect.AnnounceQuarantine](effects)
 		assert.Assert(t, !reported)
 		next, ok := find[effect.Send](effects)
 		assert.Assert(t, ok)
@@ -106,7 +106,7 @@
 		effects := in.reduce(event.AttemptEnded{ID: id, Attempt: 1, Upstream: "lyric-0", Result: event.ResultFailed})
 		in.reduce(event.CallerGone{ID: id})
 		in.reduce(event.AttemptEnded{ID: id, Attempt: 2, Upstream: "lyric-0", Result: event.ResultCancelled})
-		_, reported := find[effect.TellQuarantine](effects)
+		_, reported := find[effect.AnnounceQuarantine](effects)
 		return reported
 	}
 	assert.Assert(t, counted(1))
@@ -140,7 +140,7 @@
 	cases := map[string]struct {
 		result   event.Result
 		answered bool
-		ran      effect.Ran
+		ran      effect.RunState
 	}{
 		"expired before an answer": {event.ResultExpired, false, effect.Unknown},
 		"expired within an answer": {event.ResultExpired, true, effect.HasRun},
@@ -152,7 +152,7 @@
 			in := newInstance(t)
 			only[effect.Send](t, in.lyric(1, 7))
 			if tc.answered {
-				in.reduce(event.Answering{ID: 1, Attempt: 1})
+				in.reduce(event.AnswerStarted{ID: 1, Attempt: 1})
 			}
 			in.now = in.now.Add(10 * time.Second)
 			finish := only[effect.Finish](t, in.reduce(event.AttemptEnded{ID: 1, Attempt: 1, Upstream: "lyric-0", Result: tc.result}))
@@ -210,11 +210,11 @@
 	sent := only[effect.Send](t, in.reduce(event.Arrived{
 		ID: 1, Service: "lyric", PromptTokens: 1_000_000, Idempotent: true, Deadline: in.now.Add(time.Hour),
 	}))
-	assert.Assert(t, sent.FirstSilence > 50*time.Second, "%s", sent.FirstSilence)
-	assert.Equal(t, sent.Silence, 5*time.Second)
+	assert.Assert(t, sent.FirstProgressTimeout > 50*time.Second, "%s", sent.FirstProgressTimeout)
+	assert.Equal(t, sent.ProgressTimeout, 5*time.Second)
 	in.reduce(event.AttemptEnded{ID: 1, Attempt: 1, Upstream: sent.Upstreams[0].Name, Result: event.ResultDone})
 	short := only[effect.Send](t, in.lyric(2, 7))
-	assert.Assert(t, short.FirstSilence < 6*time.Second, "%s", short.FirstSilence)
+	assert.Assert(t, short.FirstProgressTimeout < 6*time.Second, "%s", short.FirstProgressTimeout)
 }
 
 func TestDeadlineExpiresInQueue(t *testing.T) {
--- a/internal/core/servetime.go
+++ b/internal/core/servetime.go
@@ -37,12 +37,12 @@
 	if wait == 0 {
 		return notRunRefusal(effect.ReasonDeadline, 0, "allow more time in the deadline header, or ask for a shorter answer")
 	}
-	return notRunRefusal(effect.ReasonBusy, min(max(late, minRetryAfter), maxRetryAfter), "send it again later or allow it more time; the work ahead of it takes too long")
+	return notRunRefusal(effect.ReasonOverloaded, min(max(late, minRetryAfter), maxRetryAfter), "send it again later or allow it more time; the work ahead of it takes too long")
 }
 
 // minServeTime returns the estimated time to answer the request once it is sent, times serveTimeFactor.
 func (st *State) minServeTime(ev event.Arrived, level int) time.Duration {
-	return time.Duration(serveTimeFactor * float64(st.Route.Least(st.now, ev.Service, ev.PromptTokens, ev.MaxTokens, level)))
+	return time.Duration(serveTimeFactor * float64(st.Route.MinServeTime(st.now, ev.Service, ev.PromptTokens, ev.MaxTokens, level)))
 }
 
 // scheduleLatestStart schedules a check at the latest time at which a waiting request can be sent and still meet its
@@ -67,6 +67,6 @@
 // pool.
 func (st *State) ejectSlow() {
 	for _, name := range st.Route.Tick(st.now) {
-		st.emit(effect.Note{Counter: "Upstreams.EjectedSlow", Line: "upstream ejected: far slower than its pool", Subject: name})
+		st.emit(effect.CountAndLog{Counter: "Upstreams.EjectedSlow", LogMessage: "upstream ejected: far slower than its pool", Subject: name})
 	}
 }
--- a/internal/core/share.go
+++ b/internal/core/share.go
@@ -15,8 +15,8 @@
 	if st.now.Before(st.nextDemands) || len(st.Instances) == 0 {
 		return
 	}
-	st.nextDemands = st.now.Add(st.Admit.TellPeriod())
-	st.Admit.ForgetDemands(st.now)
+	st.nextDemands = st.now.Add(st.Admit.DemandPeriod())
+	st.Admit.DropExpiredDemands(st.now)
 	byAllocator := map[event.Instance][]event.Demand{}
 	var order []event.Instance
 	for _, dem := range st.Admit.Demands(st.now, st.Config.Organisations) {
@@ -33,12 +33,12 @@
 
 func (st *State) sendDemandsTo(allocator event.Instance, demands []event.Demand) {
 	if allocator.Name == st.Options.Name {
-		st.Admit.TakeShares(st.now, st.Admit.ShareOut(st.now, allocator.Name, demands))
+		st.Admit.ApplyShares(st.now, st.Admit.AllocateShares(st.now, allocator.Name, demands))
 		return
 	}
 	for len(demands) > 0 {
 		count := min(len(demands), maxDemands)
-		st.emit(effect.TellDemand{To: allocator, Demands: demands[:count]})
+		st.emit(effect.SendDemand{To: allocator, Demands: demands[:count]})
 		demands = demands[count:]
 	}
 }
@@ -59,11 +59,11 @@
 	return allocator
 }
 
-func (st *State) handleDemandHeard(ev event.DemandHeard) {
-	shares := st.Admit.ShareOut(st.now, ev.From, ev.Demands)
+func (st *State) handleDemandHeard(ev event.DemandReceived) {
+	shares := st.Admit.AllocateShares(st.now, ev.From, ev.Demands)
 	for _, inst := range st.Instances {
 		if inst.Name == ev.From {
-			st.emit(effect.TellShares{To: inst, Shares: shares})
+			st.emit(effect.SendShares{To: inst, Shares: shares})
 			return
 		}
 	}
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -152,7 +152,7 @@
 
 // baseline reports whether the instance runs a policy that exists only for comparison.
 func (st *State) baseline() bool {
-	_, isSail := st.Route.Policy.(route.Sail)
+	_, isSail := st.Route.Policy.(route.LowestCost)
 	return !isSail
 }
 
@@ -166,7 +166,7 @@
 		st.handleArrived(ev)
 	case event.CallerGone:
 		st.handleCallerGone(ev)
-	case event.Answering:
+	case event.AnswerStarted:
 		st.handleAnswering(ev)
 	case event.AttemptEnded:
 		st.handleAttemptEnded(ev)
@@ -180,7 +180,7 @@
 	case event.CacheChanged:
 		st.Route.CacheChanged(st.now, ev)
 	case event.UpstreamsListed:
-		st.Route.List(st.now, ev)
+		st.Route.ApplyList(st.now, ev)
 		st.regroupPools()
 		st.reduceMembership(ev)
 		st.dispatchAll()
@@ -188,20 +188,20 @@
 		st.handleInstancesListed(ev)
 	case event.ConfigAccepted:
 		st.handleConfigAccepted(ev)
-	case event.Quarantined:
+	case event.QuarantineReported:
 		st.handleQuarantined(ev)
-	case event.DemandHeard:
+	case event.DemandReceived:
 		st.handleDemandHeard(ev)
-	case event.SharesHeard:
-		st.Admit.TakeShares(st.now, ev.Shares)
+	case event.SharesReceived:
+		st.Admit.ApplyShares(st.now, ev.Shares)
 	case event.DrainStarted:
 		st.Draining = true
 		st.reduceMembership(ev)
-	case event.PeerOpened:
+	case event.PeerListening:
 		st.handlePeerOpened(ev)
-	case event.Probed, event.ProbeAcked, event.Gossiped:
+	case event.ProbeReceived, event.ProbeAcked, event.GossipReceived:
 		st.reduceMembership(ev)
-	case event.PermitAsked, event.PermitGranted, event.PermitReturned, event.PermitRenewed, event.PermitsKnown:
+	case event.PermitRequested, event.PermitDecided, event.PermitReturned, event.PermitRenewed, event.PermitStatusReceived:
 		st.reducePermits(ev)
 	case event.Ticked:
 		st.reduceMembership(ev)
--- a/internal/core/table.go
+++ b/internal/core/table.go
@@ -78,7 +78,7 @@
 func (st *State) count(counter string) {
 	note, ok := st.table.notes[counter]
 	if !ok {
-		note = effect.Note{Counter: counter}
+		note = effect.CountAndLog{Counter: counter}
 		st.table.notes[counter] = note
 	}
 	st.emit(note)
--- a/internal/effect/effect.go
+++ b/internal/effect/effect.go
@@ -24,15 +24,15 @@
 	Priority int
 	// Permit is the name of the reservation, empty for prompts sent without one.
 	Permit string
-	// Fresh asks for a new connection, because a reused one may be silent or because the transport must not repeat the
+	// NewConnection asks for a new connection, because a reused one may be silent or because the transport must not repeat the
 	// request.
-	Fresh bool
+	NewConnection bool
 	// Deadline is the time by which the attempt must have ended.
 	Deadline time.Time
-	// Silence is the maximum time without progress.
-	Silence time.Duration
-	// FirstSilence is the maximum time without progress before the first byte of the answer; 0 means Silence.
-	FirstSilence time.Duration
+	// ProgressTimeout is the maximum time without progress.
+	ProgressTimeout time.Duration
+	// FirstProgressTimeout is the maximum time without progress before the first byte of the answer; 0 means Silence.
+	FirstProgressTimeout time.Duration
 }
 
 // Abort ends an attempt. Its event.AttemptEnded carries ResultCancelled unless the attempt has already ended otherwise.
@@ -50,16 +50,16 @@
 	Replay *event.Outcome
 }
 
-// Ran states whether a refused or failed request ran.
-type Ran string
+// RunState states whether a refused or failed request ran.
+type RunState string
 
 const (
 	// NotRun means that no upstream ran any of the request or ever will.
-	NotRun Ran = "NotRun"
+	NotRun RunState = "NotRun"
 	// HasRun means that an upstream ran some or all of the request.
-	HasRun Ran = "Ran"
+	HasRun RunState = "Ran"
 	// Unknown means that the request may have run or may still run.
-	Unknown Ran = "Unknown"
+	Unknown RunState = "Unknown"
 )
 
 // Reason is the reason why a request was refused or failed.
@@ -68,12 +68,12 @@
 const (
 	// ReasonLimit means that the organisation has reached one of its limits.
 	ReasonLimit Reason = "LimitExceeded"
-	// ReasonBusy means that the work ahead of the request takes too long, or that no memory can be reserved for it.
-	ReasonBusy Reason = "Overloaded"
+	// ReasonOverloaded means that the work ahead of the request takes too long, or that no memory can be reserved for it.
+	ReasonOverloaded Reason = "Overloaded"
 	// ReasonDeadline means that the deadline has passed or is too early for the request.
 	ReasonDeadline Reason = "DeadlineExceeded"
-	// ReasonTooLong means that the prompt exceeds every length class, or that prompt and answer exceed one engine's memory.
-	ReasonTooLong Reason = "PromptTooLong"
+	// ReasonPromptTooLong means that the prompt exceeds every length class, or that prompt and answer exceed one engine's memory.
+	ReasonPromptTooLong Reason = "PromptTooLong"
 	// ReasonNoUpstream means that no replica of the service is live, or that a granted engine has left.
 	ReasonNoUpstream Reason = "NoUpstream"
 	// ReasonUpstream means that an attempt failed and that the request is not retried.
@@ -92,8 +92,8 @@
 	ReasonUnknownModel Reason = "UnknownModel"
 	// ReasonOutcome means that the request may have run and that its outcome is not known.
 	ReasonOutcome Reason = "OutcomeUnknown"
-	// ReasonAnswerGone means that the first request with the idempotency key was answered and its answer was not kept.
-	ReasonAnswerGone Reason = "AnswerNotKept"
+	// ReasonAnswerNotKept means that the first request with the idempotency key was answered and its answer was not kept.
+	ReasonAnswerNotKept Reason = "AnswerNotKept"
 	// ReasonRejected means that the upstream rejected the request as invalid, as any other replica would.
 	ReasonRejected Reason = "RejectedUpstream"
 )
@@ -101,7 +101,7 @@
 // Refusal is the failure that the caller receives instead of an answer.
 type Refusal struct {
 	Reason Reason
-	Ran    Ran
+	Ran    RunState
 	// RetryAfter is the delay before a retry makes sense, 0 if never or unknown.
 	RetryAfter time.Duration
 	// Remedy describes in a sentence what the caller can do.
@@ -131,8 +131,8 @@
 	Unknown bool
 }
 
-// AskPermit asks the pool's coordinator for a reservation. An event.PermitAnswered always follows.
-type AskPermit struct {
+// RequestPermit asks the pool's coordinator for a reservation. An event.PermitAnswered always follows.
+type RequestPermit struct {
 	ID            event.RequestID
 	Service       string
 	FailureDomain string
@@ -152,23 +152,23 @@
 	Permit        string
 }
 
-// TellQuarantine sends a quarantine entry to all peers.
-type TellQuarantine struct{ Quarantined event.Quarantined }
+// AnnounceQuarantine sends a quarantine entry to all peers.
+type AnnounceQuarantine struct{ Quarantined event.QuarantineReported }
 
-// TellDemand sends this instance's demands to the instance that divides the organisations' limits. It may be lost.
-type TellDemand struct {
+// SendDemand sends this instance's demands to the instance that divides the organisations' limits. It may be lost.
+type SendDemand struct {
 	To      event.Instance
 	Demands []event.Demand
 }
 
-// TellShares sends an instance its shares of organisations' limits. It may be lost.
-type TellShares struct {
+// SendShares sends an instance its shares of organisations' limits. It may be lost.
+type SendShares struct {
 	To     event.Instance
 	Shares []event.Share
 }
 
-// PermitMark separates the request's name from the number of the attempt in the name of a permit.
-const PermitMark = "~"
+// PermitSeparator separates the request's name from the number of the attempt in the name of a permit.
+const PermitSeparator = "~"
 
 // Sweep frees what engines still hold for a request whose holder died.
 type Sweep struct {
@@ -177,9 +177,9 @@
 	Upstreams []event.Upstream
 }
 
-// Tell sends a message to the peer address of another instance. It may be lost; a sender that needs an answer has to
+// SendToPeer sends a message to the peer address of another instance. It may be lost; a sender that needs an answer has to
 // repeat it.
-type Tell struct {
+type SendToPeer struct {
 	Address string
 	Message wire.Message
 }
@@ -191,27 +191,27 @@
 	Address string
 }
 
-// Note increments a counter and, if Line is set, logs a change of state.
-type Note struct {
+// CountAndLog increments a counter and, if Line is set, logs a change of state.
+type CountAndLog struct {
 	// Counter is the name of the metric.
 	Counter string
-	// Line is the log message, empty for none.
-	Line string
+	// LogMessage is the log message, empty for none.
+	LogMessage string
 	// Subject is the upstream or organisation that the log message is about.
 	Subject string
 }
 
-func (Send) isEffect()           {}
-func (Abort) isEffect()          {}
-func (Finish) isEffect()         {}
-func (Claim) isEffect()          {}
-func (RecordOutcome) isEffect()  {}
-func (AskPermit) isEffect()      {}
-func (ReleasePermit) isEffect()  {}
-func (TellQuarantine) isEffect() {}
-func (TellDemand) isEffect()     {}
-func (TellShares) isEffect()     {}
-func (Sweep) isEffect()          {}
-func (Tell) isEffect()           {}
-func (CloseIdle) isEffect()      {}
-func (Note) isEffect()           {}
+func (Send) isEffect()               {}
+func (Abort) isEffect()              {}
+func (Finish) isEffect()             {}
+func (Claim) isEffect()              {}
+func (RecordOutcome) isEffect()      {}
+func (RequestPermit) isEffect()      {}
+func (ReleasePermit) isEffect()      {}
+func (AnnounceQuarantine) isEffect() {}
+func (SendDemand) isEffect()         {}
+func (SendShares) isEffect()         {}
+func (Sweep) isEffect()              {}
+func (SendToPeer) isEffect()         {}
+func (CloseIdle) isEffect()          {}
+func (CountAndLog) isEffect()        {}
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -79,15 +79,15 @@
 // upstreamCall returns the fields that calls to engines and to plain services share.
 func (cl *call) upstreamCall(eff effect.Send) upstr.Call {
 	return upstr.Call{
-		Address:     eff.Upstreams[len(eff.Upstreams)-1].Address,
-		Request:     cl.name,
-		Method:      cl.req.Method,
-		Path:        cl.req.URL.RequestURI(),
-		Header:      forwardedHeader(cl.req.Header),
-		Offset:      eff.Offset,
-		Priority:    eff.Priority,
-		Reservation: eff.Permit,
-		Fresh:       eff.Fresh,
+		Address:       eff.Upstreams[len(eff.Upstreams)-1].Address,
+		Request:       cl.name,
+		Method:        cl.req.Method,
+		Path:          cl.req.URL.RequestURI(),
+		Header:        forwardedHeader(cl.req.Header),
+		Offset:        eff.Offset,
+		Priority:      eff.Priority,
+		Reservation:   eff.Permit,
+		NewConnection: eff.NewConnection,
 	}
 }
 
@@ -98,12 +98,12 @@
 // could read another organisation's exported cache, skip the start of its answer or get a higher priority than all others.
 var internalHeaders = []string{
 	upstr.HeaderRequest, upstr.HeaderPriority, upstr.HeaderOffset, upstr.HeaderImports, upstr.HeaderSegment,
-	upstr.HeaderReservation, upstr.HeaderFence, upstr.HeaderRun,
+	upstr.HeaderReservation, upstr.HeaderFence, upstr.HeaderRunState,
 }
 
 // forwardedHeader returns a copy of the header without the fields that are not forwarded.
 func forwardedHeader(header http.Header) http.Header {
-	kept := hops.Kept(header)
+	kept := hops.EndToEnd(header)
 	for _, name := range slices.Concat(strippedHeaders, internalHeaders) {
 		kept.Del(name)
 	}
@@ -122,7 +122,7 @@
 		}
 		imports = handles
 	}
-	wd := startWatchdog(cancel, eff.FirstSilence, eff.Silence)
+	wd := startWatchdog(cancel, eff.FirstProgressTimeout, eff.ProgressTimeout)
 	defer wd.stop()
 	up := cl.upstreamCall(eff)
 	up.Imports = imports
@@ -133,7 +133,7 @@
 	}
 	if _, ok := in.heartbeats.Load(up.Address); ok {
 		// This engine sends heartbeats while it works, so the shorter limit applies to the first sign of progress too.
-		wd.shortenLimit(eff.Silence)
+		wd.shortenLimit(eff.ProgressTimeout)
 	}
 	answer, err := in.upstream.Complete(ctx, up)
 	if err != nil {
@@ -167,7 +167,7 @@
 	if cl.firstAt.IsZero() {
 		cl.firstAt = time.Now()
 	}
-	in.loop.Submit(event.Answering{ID: cl.id, Attempt: cl.attempt})
+	in.loop.Submit(event.AnswerStarted{ID: cl.id, Attempt: cl.attempt})
 }
 
 // errCallerWrite means that a write to the caller failed, because its connection broke or the write deadline passed.
@@ -227,14 +227,14 @@
 	// How long a call takes depends on the plain service, so its answer may begin as late as the deadline. A connection
 	// that is reused from an earlier call may have gone silent, so there the answer must begin within eff.Silence; the
 	// retry uses a new connection.
-	wd := startWatchdog(cancel, time.Until(eff.Deadline), eff.Silence)
+	wd := startWatchdog(cancel, time.Until(eff.Deadline), eff.ProgressTimeout)
 	defer wd.stop()
 	up := cl.upstreamCall(eff)
 	up.Body = bytes.NewReader(cl.raw)
 	up.Length = int64(len(cl.raw))
 	up.Connected = func(reused bool) {
 		if reused {
-			wd.shortenLimit(eff.Silence)
+			wd.shortenLimit(eff.ProgressTimeout)
 		}
 	}
 	resp, err := in.upstream.Do(ctx, up)
@@ -243,7 +243,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	ended.Status = resp.StatusCode
-	if resp.Header.Get(upstr.HeaderRun) == upstr.RunStateNotRun {
+	if resp.Header.Get(upstr.HeaderRunState) == upstr.RunStateNotRun {
 		return upstr.NotRun.New("entry: the service refused the call and ran nothing").
 			WithProperty(upstr.PropertyRetryAfter, upstr.RetryAfter(resp.Header))
 	}
--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -127,7 +127,7 @@
 		plain  []http.Handler
 		path   string
 		status int
-		ran    effect.Ran
+		ran    effect.RunState
 	}{
 		"no first token":      {models: []http.Handler{stuckUpstream(0)}, path: "/v1/completions", status: 504, ran: effect.Unknown},
 		"between tokens":      {models: []http.Handler{stuckUpstream(3)}, path: "/v1/completions", status: 504, ran: effect.HasRun},
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -24,7 +24,7 @@
 type apiError struct {
 	Status int `json:"-"`
 	// Ran is sent in the header HeaderRan.
-	Ran effect.Ran `json:"-"`
+	Ran effect.RunState `json:"-"`
 	// After is sent in the header Retry-After, unless it is 0.
 	After   time.Duration `json:"-"`
 	Message string        `json:"message"`
@@ -39,21 +39,21 @@
 
 // statuses maps the reason of a refusal to its HTTP status.
 var statuses = map[effect.Reason]int{
-	effect.ReasonLimit:        http.StatusTooManyRequests,
-	effect.ReasonBusy:         http.StatusServiceUnavailable,
-	effect.ReasonDeadline:     http.StatusGatewayTimeout,
-	effect.ReasonTooLong:      http.StatusRequestEntityTooLarge,
-	effect.ReasonNoUpstream:   http.StatusServiceUnavailable,
-	effect.ReasonUpstream:     http.StatusBadGateway,
-	effect.ReasonQuarantine:   http.StatusUnprocessableEntity,
-	effect.ReasonKeyReused:    http.StatusUnprocessableEntity,
-	effect.ReasonKeyRunning:   http.StatusConflict,
-	effect.ReasonClaim:        http.StatusServiceUnavailable,
-	effect.ReasonDraining:     http.StatusServiceUnavailable,
-	effect.ReasonUnknownModel: http.StatusNotFound,
-	effect.ReasonOutcome:      http.StatusBadGateway,
-	effect.ReasonAnswerGone:   http.StatusConflict,
-	effect.ReasonRejected:     http.StatusBadRequest,
+	effect.ReasonLimit:         http.StatusTooManyRequests,
+	effect.ReasonOverloaded:    http.StatusServiceUnavailable,
+	effect.ReasonDeadline:      http.StatusGatewayTimeout,
+	effect.ReasonPromptTooLong: http.StatusRequestEntityTooLarge,
+	effect.ReasonNoUpstream:    http.StatusServiceUnavailable,
+	effect.ReasonUpstream:      http.StatusBadGateway,
+	effect.ReasonQuarantine:    http.StatusUnprocessableEntity,
+	effect.ReasonKeyReused:     http.StatusUnprocessableEntity,
+	effect.ReasonKeyRunning:    http.StatusConflict,
+	effect.ReasonClaim:         http.StatusServiceUnavailable,
+	effect.ReasonDraining:      http.StatusServiceUnavailable,
+	effect.ReasonUnknownModel:  http.StatusNotFound,
+	effect.ReasonOutcome:       http.StatusBadGateway,
+	effect.ReasonAnswerNotKept: http.StatusConflict,
+	effect.ReasonRejected:      http.StatusBadRequest,
 }
 
 // fromRefusal converts a refusal by the reducer.
--- a/internal/entry/headers_test.go
+++ b/internal/entry/headers_test.go
@@ -25,7 +25,7 @@
 	header := http.Header{"X-Kept": {"yes"}, "Connection": {"X-Hop"}, "X-Hop": {"gone"}}
 	forged := []string{
 		upstr.HeaderRequest, upstr.HeaderPriority, upstr.HeaderOffset, upstr.HeaderImports, upstr.HeaderSegment,
-		upstr.HeaderReservation, upstr.HeaderFence, upstr.HeaderRun,
+		upstr.HeaderReservation, upstr.HeaderFence, upstr.HeaderRunState,
 	}
 	for _, name := range forged {
 		header.Set(name, "999")
--- a/internal/entry/observe.go
+++ b/internal/entry/observe.go
@@ -12,12 +12,12 @@
 // callerFaults are the reasons for refusals that do not count against a service-level objective, because the service did not
 // owe these requests an answer.
 var callerFaults = map[effect.Reason]bool{
-	effect.ReasonLimit:        true,
-	effect.ReasonTooLong:      true,
-	effect.ReasonUnknownModel: true,
-	effect.ReasonQuarantine:   true,
-	effect.ReasonKeyReused:    true,
-	effect.ReasonKeyRunning:   true,
+	effect.ReasonLimit:         true,
+	effect.ReasonPromptTooLong: true,
+	effect.ReasonUnknownModel:  true,
+	effect.ReasonQuarantine:    true,
+	effect.ReasonKeyReused:     true,
+	effect.ReasonKeyRunning:    true,
 }
 
 // plainClass is used in metric names in place of the length class for requests to plain services.
--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -89,7 +89,7 @@
 		return BadOption.New("entry: --drain-notice is %s; give 0s or more", opts.DrainNotice)
 	}
 	if _, ok := opts.policy(); !ok {
-		return BadOption.New("entry: --policy is %q; give %s, %s or %s", opts.Policy, route.NameSail, route.NameRoundRobin, route.NameLeastRequests)
+		return BadOption.New("entry: --policy is %q; give %s, %s or %s", opts.Policy, route.NameLowestCost, route.NameRoundRobin, route.NameLeastRequests)
 	}
 	if err := opts.checkPeers(); err != nil {
 		return err
@@ -103,7 +103,7 @@
 // policy returns the configured routing policy, or the default if none is configured. It reports whether the policy exists.
 func (opts *Options) policy() (route.Policy, bool) {
 	if opts.Policy == "" {
-		return route.Sail{}, true
+		return route.LowestCost{}, true
 	}
 	return route.ParsePolicy(opts.Policy)
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -32,7 +32,7 @@
 	in.peers = transport
 	in.registerPeerGauges()
 	if addr, err := netip.ParseAddrPort(transport.Address()); err == nil && !addr.Addr().IsUnspecified() {
-		in.loop.Submit(event.PeerOpened{Address: transport.Address()})
+		in.loop.Submit(event.PeerListening{Address: transport.Address()})
 	}
 	return transport.Address(), nil
 }
@@ -40,13 +40,13 @@
 // handlePeerMessage handles one message from a peer and returns the answer, or nil if an acknowledgement is enough.
 func (in *Instance) handlePeerMessage(ctx context.Context, _ string, msg wire.Message) wire.Message {
 	switch msg := msg.(type) {
-	case wire.ConfigNews, wire.ConfigWant:
+	case wire.ConfigAnnouncement, wire.ConfigRequest:
 		return in.follower.Handle(msg)
-	case wire.ClaimAsk, wire.ClaimSettle:
+	case wire.ClaimRequest, wire.ClaimSettle:
 		return in.claims.Handle(ctx, msg)
 	case wire.Quarantine:
 		in.applyQuarantine(msg)
-	case wire.QuarantineWant:
+	case wire.QuarantineRequest:
 		in.quarantineRequesters.add(msg.From)
 		return in.quarantineSnapshot()
 	default:
--- a/internal/entry/perform.go
+++ b/internal/entry/perform.go
@@ -21,29 +21,29 @@
 		in.claim(eff)
 	case effect.RecordOutcome:
 		in.recordOutcome(eff)
-	case effect.AskPermit:
+	case effect.RequestPermit:
 		in.loop.Submit(event.PermitAnswered{ID: eff.ID, Lost: true})
 	case effect.ReleasePermit:
 	case effect.Sweep:
 		in.sweep(eff)
-	case effect.Tell:
+	case effect.SendToPeer:
 		in.sendToPeer(eff.Address, eff.Message)
-	case effect.TellDemand:
+	case effect.SendDemand:
 		in.sendToPeer(eff.To.Peer, wire.Demand{From: in.opts.Name, Demands: eff.Demands})
-	case effect.TellShares:
+	case effect.SendShares:
 		in.sendToPeer(eff.To.Peer, wire.Shares{Shares: eff.Shares})
-	case effect.TellQuarantine:
+	case effect.AnnounceQuarantine:
 		in.announceQuarantine(eff)
 	case effect.CloseIdle:
 		in.upstream.CloseIdle(eff.Address)
-	case effect.Note:
+	case effect.CountAndLog:
 		in.recordNote(eff)
 	}
 }
 
-func (in *Instance) recordNote(eff effect.Note) {
+func (in *Instance) recordNote(eff effect.CountAndLog) {
 	metrics.GetOrRegisterCounter(eff.Counter, in.Meter.Registry).Inc(1)
-	if eff.Line != "" {
-		in.log.Warn().Str("Subject", eff.Subject).Msg(eff.Line)
+	if eff.LogMessage != "" {
+		in.log.Warn().Str("Subject", eff.Subject).Msg(eff.LogMessage)
 	}
 }
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -22,7 +22,7 @@
 )
 
 // announceQuarantine sends the peers a death that this instance observed.
-func (in *Instance) announceQuarantine(eff effect.TellQuarantine) {
+func (in *Instance) announceQuarantine(eff effect.AnnounceQuarantine) {
 	in.broadcastQuarantine(quarantineMessage(eff.Quarantined))
 }
 
@@ -74,19 +74,19 @@
 	return slices.Collect(maps.Keys(rq.requestedAt))
 }
 
-func quarantineMessage(qr event.Quarantined) wire.Quarantine {
+func quarantineMessage(qr event.QuarantineReported) wire.Quarantine {
 	return wire.Quarantine{Digest: qr.Digest, Deaths: qr.Deaths, Lasts: time.Until(qr.Until)}
 }
 
 func (in *Instance) applyQuarantine(msg wire.Quarantine) {
-	in.loop.Submit(event.Quarantined{Digest: msg.Digest, Deaths: msg.Deaths, Until: time.Now().Add(msg.Lasts)})
+	in.loop.Submit(event.QuarantineReported{Digest: msg.Digest, Deaths: msg.Deaths, Until: time.Now().Add(msg.Lasts)})
 }
 
 // quarantineSnapshot returns all content under suspicion or quarantine, as the answer to a peer that has just started.
-func (in *Instance) quarantineSnapshot() wire.Quarantines {
-	var known []event.Quarantined
-	in.loop.View(func(st *core.State) { known = st.Deaths() })
-	answer := wire.Quarantines{Entries: make([]wire.Quarantine, 0, len(known))}
+func (in *Instance) quarantineSnapshot() wire.QuarantineList {
+	var known []event.QuarantineReported
+	in.loop.View(func(st *core.State) { known = st.SuspectDigests() })
+	answer := wire.QuarantineList{Entries: make([]wire.Quarantine, 0, len(known))}
 	for _, qr := range known {
 		answer.Entries = append(answer.Entries, quarantineMessage(qr))
 	}
@@ -118,11 +118,11 @@
 func (in *Instance) requestQuarantine(address string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), quarantineTimeout)
 	defer cancel()
-	answer, err := in.peers.Ask(ctx, address, wire.QuarantineWant{From: in.peers.Address()})
+	answer, err := in.peers.Ask(ctx, address, wire.QuarantineRequest{From: in.peers.Address()})
 	if err != nil {
 		return err
 	}
-	if msg, ok := answer.(wire.Quarantines); ok {
+	if msg, ok := answer.(wire.QuarantineList); ok {
 		for _, entry := range msg.Entries {
 			in.applyQuarantine(entry)
 		}
--- a/internal/entry/segments.go
+++ b/internal/entry/segments.go
@@ -57,7 +57,7 @@
 		call.Method = http.MethodPost
 		call.Imports = handles
 		call.Body, call.Length = cl.body.Streamed()
-		handle, err := in.prefillSegment(ctx, call, from, to, eff.FirstSilence, cancel)
+		handle, err := in.prefillSegment(ctx, call, from, to, eff.FirstProgressTimeout, cancel)
 		if err != nil {
 			return nil, err
 		}
@@ -115,7 +115,7 @@
 // sweep frees what engines still hold for a request whose instance died: the segments, which carry the permit's name, and
 // the answer, which carries the request's name.
 func (in *Instance) sweep(eff effect.Sweep) {
-	request, _, _ := strings.Cut(eff.Request, effect.PermitMark)
+	request, _, _ := strings.Cut(eff.Request, effect.PermitSeparator)
 	for _, up := range eff.Upstreams {
 		in.free(up, eff.Request)
 		in.free(up, request)
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -33,10 +33,10 @@
 // newKeeper returns the keeper that coordinates the pools whose leases this instance holds.
 func (in *Instance) newKeeper() *order.Keeper {
 	self := event.Instance{Name: in.opts.Name, FailureDomain: in.opts.FailureDomain}
-	weights := order.NewWeights(in.store, in.run, cmp.Or(in.opts.WeightLoads, defaultWeightLoads))
+	weights := order.NewLoadLimiter(in.store, in.run, cmp.Or(in.opts.WeightLoads, defaultWeightLoads))
 	keeper := order.NewKeeper(self, in.leases, weights, in.upstream)
-	keeper.Given = in.recordOrder
-	keeper.Waited = func(string) { in.incCounter("Orders.Waited") }
+	keeper.OnSent = in.recordOrder
+	keeper.OnPostponed = func(string) { in.incCounter("Orders.Waited") }
 	return keeper
 }
 
@@ -45,7 +45,7 @@
 }
 
 // recordOrder counts and logs an order that was sent to an upstream.
-func (in *Instance) recordOrder(pool string, snd *order.Send, err error) {
+func (in *Instance) recordOrder(pool string, snd *order.PendingOrder, err error) {
 	if err != nil {
 		in.incCounter("Orders.Failed")
 	} else {
@@ -58,7 +58,7 @@
 // stateGauges updates the gauges that show whether this instance watches the configuration, how many leases it holds and
 // whether claims in the key-value service fail.
 func (in *Instance) stateGauges() {
-	in.gauge("Config.Watches", boolGauge(in.follower.Watches()))
+	in.gauge("Config.Watches", boolGauge(in.follower.IsWatcher()))
 	in.gauge("Leases.Held", int64(len(in.leases.Names())))
 	in.gauge("Claims.StoreFailing", boolGauge(in.claims.Failing()))
 }
@@ -100,7 +100,7 @@
 			in.claims.SetMembers(known)
 		}
 		if in.draining.Load() {
-			in.leases.Want(nil)
+			in.leases.SetWanted(nil)
 			continue
 		}
 		keeper.Step(ctx, view)
@@ -115,7 +115,7 @@
 		view.Instances = append(view.Instances, st.Instances...)
 		served := liveDomains(view.Instances)
 		for name, svc := range st.Config.Services {
-			if !order.States(svc) {
+			if !order.ConfiguresReplicas(svc) {
 				continue
 			}
 			view.Services[name] = svc
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -108,7 +108,7 @@
 	}
 	slices.SortFunc(sts.Upstreams, func(a, b UpstreamStatus) int { return strings.Compare(a.Name, b.Name) })
 	sts.Pools = st.Pools()
-	for _, entry := range st.Quarantine() {
+	for _, entry := range st.QuarantinedDigests() {
 		sts.Quarantine = append(sts.Quarantine, QuarantineStatus{
 			Digest: hex.EncodeToString(entry.Digest[:]),
 			Deaths: entry.Deaths,
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -43,8 +43,8 @@
 // CallerGone reports that the caller closed its connection.
 type CallerGone struct{ ID RequestID }
 
-// Answering reports that the first byte of an answer arrived from the upstream.
-type Answering struct {
+// AnswerStarted reports that the first byte of an answer arrived from the upstream.
+type AnswerStarted struct {
 	ID      RequestID
 	Attempt int
 }
@@ -210,8 +210,8 @@
 	Outcome Outcome
 }
 
-// Quarantined reports that requests with this digest crashed upstreams, at this instance or at a peer.
-type Quarantined struct {
+// QuarantineReported reports that requests with this digest crashed upstreams, at this instance or at a peer.
+type QuarantineReported struct {
 	Digest Digest
 	// Deaths is the number of upstreams that crashed while running such a request.
 	Deaths int
@@ -223,26 +223,26 @@
 type Demand struct {
 	_            struct{} `cbor:",toarray"`
 	Organisation string
-	// Part is the largest fraction of any of the limits: 1 is the whole limit, and a higher demand exceeds it.
-	Part float32
+	// Fraction is the largest fraction of any of the limits: 1 is the whole limit, and a higher demand exceeds it.
+	Fraction float32
 }
 
 // Share is the share of an organisation's limits that one instance may use.
 type Share struct {
 	_            struct{} `cbor:",toarray"`
 	Organisation string
-	// Part is a fraction from 0 to 1.
-	Part float32
+	// Fraction is a fraction from 0 to 1.
+	Fraction float32
 }
 
-// DemandHeard carries another instance's demands to the instance that divides these organisations' limits.
-type DemandHeard struct {
+// DemandReceived carries another instance's demands to the instance that divides these organisations' limits.
+type DemandReceived struct {
 	From    string
 	Demands []Demand
 }
 
-// SharesHeard carries the shares of organisations' limits that this instance may use.
-type SharesHeard struct{ Shares []Share }
+// SharesReceived carries the shares of organisations' limits that this instance may use.
+type SharesReceived struct{ Shares []Share }
 
 // DrainStarted reports that this instance was asked to stop.
 type DrainStarted struct{}
@@ -254,19 +254,19 @@
 // TickPeriod is the resolution of a reducer's timeouts.
 const TickPeriod = 5 * time.Millisecond
 
-func (Arrived) isEvent()         {}
-func (CallerGone) isEvent()      {}
-func (Answering) isEvent()       {}
-func (AttemptEnded) isEvent()    {}
-func (LoadReported) isEvent()    {}
-func (CacheChanged) isEvent()    {}
-func (UpstreamsListed) isEvent() {}
-func (InstancesListed) isEvent() {}
-func (ConfigAccepted) isEvent()  {}
-func (PermitAnswered) isEvent()  {}
-func (ClaimSettled) isEvent()    {}
-func (Quarantined) isEvent()     {}
-func (DemandHeard) isEvent()     {}
-func (SharesHeard) isEvent()     {}
-func (DrainStarted) isEvent()    {}
-func (Ticked) isEvent()          {}
+func (Arrived) isEvent()            {}
+func (CallerGone) isEvent()         {}
+func (AnswerStarted) isEvent()      {}
+func (AttemptEnded) isEvent()       {}
+func (LoadReported) isEvent()       {}
+func (CacheChanged) isEvent()       {}
+func (UpstreamsListed) isEvent()    {}
+func (InstancesListed) isEvent()    {}
+func (ConfigAccepted) isEvent()     {}
+func (PermitAnswered) isEvent()     {}
+func (ClaimSettled) isEvent()       {}
+func (QuarantineReported) isEvent() {}
+func (DemandReceived) isEvent()     {}
+func (SharesReceived) isEvent()     {}
+func (DrainStarted) isEvent()       {}
+func (Ticked) isEvent()             {}
--- a/internal/event/member.go
+++ b/internal/event/member.go
@@ -1,35 +1,35 @@
 package event
 
-// WordState is the status that a Word reports.
-type WordState uint8
+// MemberStatus is the status that a Word reports.
+type MemberStatus uint8
 
 // The states in order of precedence: a later one replaces an earlier one of the same incarnation.
 const (
-	// WordAlive is sent by the member itself.
-	WordAlive WordState = iota + 1
-	// WordSuspect reports that a member did not answer a probe. The member can refute it with a higher incarnation.
-	WordSuspect
-	// WordLeaving is sent by a member that is shutting down.
-	WordLeaving
-	// WordDead reports that a suspected member did not refute the suspicion in time, or that a leaving member no longer
+	// StatusAlive is sent by the member itself.
+	StatusAlive MemberStatus = iota + 1
+	// StatusSuspect reports that a member did not answer a probe. The member can refute it with a higher incarnation.
+	StatusSuspect
+	// StatusLeaving is sent by a member that is shutting down.
+	StatusLeaving
+	// StatusDead reports that a suspected member did not refute the suspicion in time, or that a leaving member no longer
 	// answers.
-	WordDead
-	// WordUpstreamLeaving reports that the platform lists an upstream as leaving.
-	WordUpstreamLeaving
+	StatusDead
+	// StatusUpstreamLeaving reports that the platform lists an upstream as leaving.
+	StatusUpstreamLeaving
 )
 
-// Word is a gossiped status update about one instance or upstream.
-type Word struct {
+// StatusUpdate is a gossiped status update about one instance or upstream.
+type StatusUpdate struct {
 	_     struct{} `cbor:",toarray"`
 	Name  string
-	State WordState
+	State MemberStatus
 	// Incarnation orders the updates about one name; only the named instance raises it. For an upstream it is a hash of
 	// its address, so that the update does not apply to a later upstream of the same name.
 	Incarnation uint64
 }
 
-// Probed carries another instance's probe of this one, or its request to probe a third instance on its behalf.
-type Probed struct {
+// ProbeReceived carries another instance's probe of this one, or its request to probe a third instance on its behalf.
+type ProbeReceived struct {
 	_    struct{} `cbor:",toarray"`
 	From string
 	// Peer is the address to which the answer is sent.
@@ -37,7 +37,7 @@
 	Seq  uint64
 	// For is the name of the instance to probe, empty for the receiver.
 	For   string
-	Words []Word
+	Words []StatusUpdate
 }
 
 // ProbeAcked carries the answer to a probe.
@@ -46,20 +46,20 @@
 	// From is the instance that was probed, also if another instance forwards its answer.
 	From  string
 	Seq   uint64
-	Words []Word
+	Words []StatusUpdate
 }
 
-// Gossiped carries updates that are sent without waiting for the next probe.
-type Gossiped struct {
+// GossipReceived carries updates that are sent without waiting for the next probe.
+type GossipReceived struct {
 	_     struct{} `cbor:",toarray"`
 	From  string
-	Words []Word
+	Words []StatusUpdate
 }
 
-// PeerOpened carries the address at which this instance receives messages from its peers.
-type PeerOpened struct{ Address string }
+// PeerListening carries the address at which this instance receives messages from its peers.
+type PeerListening struct{ Address string }
 
-func (PeerOpened) isEvent() {}
-func (Probed) isEvent()     {}
-func (ProbeAcked) isEvent() {}
-func (Gossiped) isEvent()   {}
+func (PeerListening) isEvent()  {}
+func (ProbeReceived) isEvent()  {}
+func (ProbeAcked) isEvent()     {}
+func (GossipReceived) isEvent() {}
--- a/internal/event/permit.go
+++ b/internal/event/permit.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// PermitAsked carries an instance's request for a reservation, or its report of one that it already holds. It may arrive
+// PermitRequested carries an instance's request for a reservation, or its report of one that it already holds. It may arrive
 // more than once.
-type PermitAsked struct {
+type PermitRequested struct {
 	_ struct{} `cbor:",toarray"`
 	// Holder is the name of the requesting instance.
 	Holder string
@@ -31,8 +31,8 @@
 	Upstreams []string
 }
 
-// PermitGranted carries a coordinator's answer to a PermitAsked.
-type PermitGranted struct {
+// PermitDecided carries a coordinator's answer to a PermitAsked.
+type PermitDecided struct {
 	_ struct{} `cbor:",toarray"`
 	// From is the name of the coordinator.
 	From          string
@@ -73,16 +73,16 @@
 	Waiting []string
 }
 
-// PermitsKnown carries a coordinator's answer to a PermitRenewed.
-type PermitsKnown struct {
+// PermitStatusReceived carries a coordinator's answer to a PermitRenewed.
+type PermitStatusReceived struct {
 	_    struct{} `cbor:",toarray"`
 	From string
 	// Unknown are the requests of which the coordinator has no record.
 	Unknown []string
 }
 
-func (PermitAsked) isEvent()    {}
-func (PermitGranted) isEvent()  {}
-func (PermitReturned) isEvent() {}
-func (PermitRenewed) isEvent()  {}
-func (PermitsKnown) isEvent()   {}
+func (PermitRequested) isEvent()      {}
+func (PermitDecided) isEvent()        {}
+func (PermitReturned) isEvent()       {}
+func (PermitRenewed) isEvent()        {}
+func (PermitStatusReceived) isEvent() {}
--- a/internal/hops/hops.go
+++ b/internal/hops/hops.go
@@ -11,8 +11,8 @@
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// Kept returns a copy of the header without the hop-by-hop headers, including those that the Connection header names.
-func Kept(header http.Header) http.Header {
+// EndToEnd returns a copy of the header without the hop-by-hop headers, including those that the Connection header names.
+func EndToEnd(header http.Header) http.Header {
 	kept := header.Clone()
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -33,8 +33,8 @@
 	releaseTimeout = time.Second
 )
 
-// Held describes a lease that this instance holds.
-type Held struct {
+// Lease describes a lease that this instance holds.
+type Lease struct {
 	// Fence is the fencing number: the service's revision at which the name was acquired, higher for each new holder.
 	Fence int64
 	// Since is when the name was acquired.
@@ -48,7 +48,7 @@
 
 	mu     sync.Mutex
 	wanted map[string]bool
-	held   map[string]Held
+	held   map[string]Lease
 	// dropped contains the held names that Drop marked for release.
 	dropped map[string]bool
 	// until is when the holder has to stop acting under its leases, by the monotonic clock.
@@ -75,15 +75,15 @@
 		st:        st,
 		nonce:     nonce,
 		wanted:    map[string]bool{},
-		held:      map[string]Held{},
+		held:      map[string]Lease{},
 		dropped:   map[string]bool{},
 		triedAt:   map[string]time.Time{},
 		uncertain: map[string]bool{},
 	}
 }
 
-// Want replaces the set of names that the holder tries to hold. Names that are no longer in it are released.
-func (hd *Holder) Want(names []string) {
+// SetWanted replaces the set of names that the holder tries to hold. Names that are no longer in it are released.
+func (hd *Holder) SetWanted(names []string) {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
 	hd.wanted = map[string]bool{}
@@ -96,7 +96,7 @@
 // may have been paused since an earlier check, and another instance may hold the lease by now. An action that is still
 // sent after a pause between Check and the action is rejected by its fencing number, or noticed when the next holder
 // checks the state.
-func (hd *Holder) Check(name string) (Held, bool) {
+func (hd *Holder) Check(name string) (Lease, bool) {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
 	held, ok := hd.held[name]
@@ -234,7 +234,7 @@
 func (hd *Holder) forgetLease() {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
-	hd.held = map[string]Held{}
+	hd.held = map[string]Lease{}
 	hd.dropped = map[string]bool{}
 	hd.until = time.Time{}
 	hd.lease = 0
@@ -292,5 +292,5 @@
 func (hd *Holder) setHeld(name string, fence int64) {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
-	hd.held[name] = Held{Fence: fence, Since: time.Now()}
+	hd.held[name] = Lease{Fence: fence, Since: time.Now()}
 }
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -23,21 +23,21 @@
 
 // queuedUpdate is an update that still has to be sent with probes.
 type queuedUpdate struct {
-	update event.Word
+	update event.StatusUpdate
 	// sent is the number of probes and answers that have carried the update.
 	sent int
 }
 
-func (st *State) applyAll(updates []event.Word) {
+func (st *State) applyAll(updates []event.StatusUpdate) {
 	for _, upd := range updates {
 		st.apply(upd)
 	}
 }
 
 // apply applies an update that supersedes what is known, and forwards it.
-func (st *State) apply(upd event.Word) {
+func (st *State) apply(upd event.StatusUpdate) {
 	switch {
-	case upd.State == event.WordUpstreamLeaving:
+	case upd.State == event.StatusUpstreamLeaving:
 		st.applyUpstreamLeaving(upd)
 	case upd.Name == st.Self.Name:
 		st.refute(upd)
@@ -46,29 +46,29 @@
 	}
 }
 
-func (st *State) applyUpstreamLeaving(upd event.Word) {
+func (st *State) applyUpstreamLeaving(upd event.StatusUpdate) {
 	if _, known := st.leavingUpstreams[upd]; known || len(st.leavingUpstreams) >= maxLeavingUpstreams {
 		return
 	}
 	st.leavingUpstreams[upd] = st.now
-	st.Left = append(st.Left, upd)
+	st.LeavingUpstreams = append(st.LeavingUpstreams, upd)
 	st.broadcast(upd)
 }
 
 // refute answers a suspicion of this instance, or a report of its death, with a higher incarnation. No other instance may
 // raise it.
-func (st *State) refute(upd event.Word) {
+func (st *State) refute(upd event.StatusUpdate) {
 	if upd.Incarnation == 0 {
 		upd.Incarnation = st.Incarnation
 	}
-	if upd.Incarnation < st.Incarnation || upd.State == event.WordAlive || upd.State == event.WordLeaving {
+	if upd.Incarnation < st.Incarnation || upd.State == event.StatusAlive || upd.State == event.StatusLeaving {
 		return
 	}
 	st.Incarnation = upd.Incarnation + 1
 	st.broadcast(st.selfUpdate())
 }
 
-func (st *State) applyMember(upd event.Word) {
+func (st *State) applyMember(upd event.StatusUpdate) {
 	mb, ok := st.Members[upd.Name]
 	if !ok {
 		return
@@ -83,11 +83,11 @@
 	if mb.State != upd.State {
 		st.Changed = true
 	}
-	isNew := mb.State != upd.State || upd.State == event.WordAlive && mb.Incarnation != 0
+	isNew := mb.State != upd.State || upd.State == event.StatusAlive && mb.Incarnation != 0
 	mb.Incarnation = upd.Incarnation
 	mb.State = upd.State
 	switch {
-	case upd.State == event.WordSuspect:
+	case upd.State == event.StatusSuspect:
 		mb.SuspectedAt = st.now
 		st.suspects[upd.Name] = true
 		st.send(mb.Instance.Peer, st.gossipMessage(upd))
@@ -100,7 +100,7 @@
 // overriddenBy reports whether the update supersedes what is known about the member. The higher incarnation wins, so that
 // a suspicion or death older than the member's own last update is ignored. Within one incarnation the higher state wins,
 // so that a leaving member cannot become alive or suspect again.
-func (mb *Member) overriddenBy(upd event.Word) bool {
+func (mb *Member) overriddenBy(upd event.StatusUpdate) bool {
 	if upd.Incarnation != mb.Incarnation {
 		return upd.Incarnation > mb.Incarnation
 	}
@@ -109,9 +109,9 @@
 
 // broadcast sends the update to fanout random members at once and queues it for the others, who receive it with probes. It
 // replaces queued updates about the same member.
-func (st *State) broadcast(upd event.Word) {
+func (st *State) broadcast(upd event.StatusUpdate) {
 	st.broadcasts = slices.DeleteFunc(st.broadcasts, func(qu *queuedUpdate) bool {
-		return qu.update.Name == upd.Name && qu.update.State != event.WordUpstreamLeaving
+		return qu.update.Name == upd.Name && qu.update.State != event.StatusUpstreamLeaving
 	})
 	st.broadcasts = append(st.broadcasts, &queuedUpdate{update: upd})
 	for _, mb := range st.pickLive(fanout, upd.Name) {
@@ -121,12 +121,12 @@
 
 // piggyback returns the queued updates to add to one message, those sent least often first. It adds times to their send
 // counts and removes the updates that have reached the limit.
-func (st *State) piggyback(times int) []event.Word {
+func (st *State) piggyback(times int) []event.StatusUpdate {
 	if len(st.broadcasts) == 0 {
 		return nil
 	}
 	slices.SortStableFunc(st.broadcasts, func(a, b *queuedUpdate) int { return a.sent - b.sent })
-	updates := make([]event.Word, 0, maxPiggybacked+1)
+	updates := make([]event.StatusUpdate, 0, maxPiggybacked+1)
 	for _, qu := range st.broadcasts[:min(len(st.broadcasts), maxPiggybacked)] {
 		qu.sent += times
 		updates = append(updates, qu.update)
@@ -136,6 +136,6 @@
 	return updates
 }
 
-func (st *State) gossipMessage(upd event.Word) wire.Gossip {
-	return wire.Gossip{From: st.Self.Name, Words: []event.Word{upd}}
+func (st *State) gossipMessage(upd event.StatusUpdate) wire.Gossip {
+	return wire.Gossip{From: st.Self.Name, Words: []event.StatusUpdate{upd}}
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -40,7 +40,7 @@
 type Member struct {
 	Instance event.Instance
 	// State is WordAlive, WordSuspect, WordDead or WordLeaving.
-	State event.WordState
+	State event.MemberStatus
 	// Incarnation is the highest one received, 0 if none was received yet.
 	Incarnation uint64
 	// SuspectedAt is when the suspicion began.
@@ -51,14 +51,14 @@
 // raises its incarnation by one with each refutation, which never adds up to this distance.
 const minRunGap = 100_000
 
-// After reports whether the member's current run is a later one than the run that had the given incarnation.
-func (mb *Member) After(incarnation uint64) bool {
+// RestartedSince reports whether the member's current run is a later one than the run that had the given incarnation.
+func (mb *Member) RestartedSince(incarnation uint64) bool {
 	return mb.Incarnation > incarnation+minRunGap
 }
 
 // Live reports whether the member takes part in the protocol. A suspected one does until it is declared dead.
 func (mb *Member) Live() bool {
-	return mb.State == event.WordAlive || mb.State == event.WordSuspect
+	return mb.State == event.StatusAlive || mb.State == event.StatusSuspect
 }
 
 // State is the membership as one instance sees it.
@@ -72,8 +72,8 @@
 	Members map[string]*Member
 	// Changed is set when the members, their states or this instance's own entry change. The caller resets it.
 	Changed bool
-	// Left contains the updates about leaving upstreams that the caller has not processed yet. The caller clears it.
-	Left []event.Word
+	// LeavingUpstreams contains the updates about leaving upstreams that the caller has not processed yet. The caller clears it.
+	LeavingUpstreams []event.StatusUpdate
 
 	// suspects contains the names of the suspected members, so that a tick does not have to check all members.
 	suspects map[string]bool
@@ -91,7 +91,7 @@
 	broadcasts []*queuedUpdate
 	// leavingUpstreams contains the updates about leaving upstreams with the time of the last list that named the upstream,
 	// or the time of the update itself if no list has named it since.
-	leavingUpstreams map[event.Word]time.Time
+	leavingUpstreams map[event.StatusUpdate]time.Time
 }
 
 // New returns the state of an instance that knows no other members.
@@ -102,7 +102,7 @@
 		Members:          map[string]*Member{},
 		random:           rand.New(rand.NewPCG(seed, incarnation)),
 		probes:           map[uint64]*probe{},
-		leavingUpstreams: map[event.Word]time.Time{},
+		leavingUpstreams: map[event.StatusUpdate]time.Time{},
 		suspects:         map[string]bool{},
 	}
 }
@@ -116,11 +116,11 @@
 		st.handleInstancesListed(ev)
 	case event.UpstreamsListed:
 		st.handleUpstreamsListed(ev)
-	case event.Probed:
+	case event.ProbeReceived:
 		st.handleProbed(ev)
 	case event.ProbeAcked:
 		st.handleAcked(ev)
-	case event.Gossiped:
+	case event.GossipReceived:
 		st.applyAll(ev.Words)
 	case event.DrainStarted:
 		st.startLeaving()
@@ -132,7 +132,7 @@
 
 func (st *State) send(address string, msg wire.Message) {
 	if address != "" {
-		st.effects = append(st.effects, effect.Tell{Address: address, Message: msg})
+		st.effects = append(st.effects, effect.SendToPeer{Address: address, Message: msg})
 	}
 }
 
@@ -143,8 +143,8 @@
 	list := []event.Instance{self}
 	for _, mb := range st.Members {
 		inst := mb.Instance
-		inst.Leaving = mb.State == event.WordLeaving
-		if mb.State != event.WordDead {
+		inst.Leaving = mb.State == event.StatusLeaving
+		if mb.State != event.StatusDead {
 			list = append(list, inst)
 		}
 	}
@@ -157,7 +157,7 @@
 		return !st.leaving
 	}
 	mb, ok := st.Members[name]
-	return ok && mb.State == event.WordAlive
+	return ok && mb.State == event.StatusAlive
 }
 
 func (st *State) handleInstancesListed(ev event.InstancesListed) {
@@ -191,21 +191,21 @@
 func (st *State) addOrUpdate(inst event.Instance) {
 	mb, ok := st.Members[inst.Name]
 	if !ok || mb.Instance.Peer != inst.Peer {
-		mb = &Member{Instance: inst, State: event.WordAlive}
+		mb = &Member{Instance: inst, State: event.StatusAlive}
 		st.Members[inst.Name] = mb
 		st.Changed = true
 	}
 	mb.Instance = inst
-	if !inst.Leaving || mb.State == event.WordLeaving {
+	if !inst.Leaving || mb.State == event.StatusLeaving {
 		return
 	}
 	if mb.Incarnation == 0 {
 		// An update without an incarnation could be applied to a later instance of the same name, so it is not forwarded.
-		mb.State = event.WordLeaving
+		mb.State = event.StatusLeaving
 		st.Changed = true
 		return
 	}
-	st.apply(event.Word{Name: inst.Name, State: event.WordLeaving, Incarnation: mb.Incarnation})
+	st.apply(event.StatusUpdate{Name: inst.Name, State: event.StatusLeaving, Incarnation: mb.Incarnation})
 }
 
 // AddressHash returns the incarnation of an update about an upstream at the address.
@@ -215,7 +215,7 @@
 
 func (st *State) handleUpstreamsListed(ev event.UpstreamsListed) {
 	for _, up := range ev.Upstreams {
-		upd := event.Word{Name: up.Name, State: event.WordUpstreamLeaving, Incarnation: AddressHash(up.Address)}
+		upd := event.StatusUpdate{Name: up.Name, State: event.StatusUpstreamLeaving, Incarnation: AddressHash(up.Address)}
 		if up.Leaving {
 			st.apply(upd)
 		}
@@ -234,7 +234,7 @@
 func (st *State) startLeaving() {
 	st.leaving = true
 	st.Changed = true
-	st.broadcast(event.Word{Name: st.Self.Name, State: event.WordLeaving, Incarnation: st.Incarnation})
+	st.broadcast(event.StatusUpdate{Name: st.Self.Name, State: event.StatusLeaving, Incarnation: st.Incarnation})
 }
 
 func (st *State) tick() {
@@ -250,12 +250,12 @@
 func (st *State) expireSuspects() {
 	for name := range st.suspects {
 		mb, ok := st.Members[name]
-		if !ok || mb.State != event.WordSuspect {
+		if !ok || mb.State != event.StatusSuspect {
 			delete(st.suspects, name)
 			continue
 		}
 		if st.now.Sub(mb.SuspectedAt) >= SuspectTimeout {
-			st.apply(event.Word{Name: name, State: event.WordDead, Incarnation: mb.Incarnation})
+			st.apply(event.StatusUpdate{Name: name, State: event.StatusDead, Incarnation: mb.Incarnation})
 		}
 	}
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -23,7 +23,7 @@
 	states []*member.State
 	// down contains the members that process no events.
 	down   map[int]bool
-	queue  []effect.Tell
+	queue  []effect.SendToPeer
 	random *rand.Rand
 	// loss is the fraction of messages that are lost.
 	loss  float64
@@ -64,7 +64,7 @@
 		return
 	}
 	for _, eff := range fl.states[number].Reduce(fl.now, ev) {
-		if tell, ok := eff.(effect.Tell); ok {
+		if tell, ok := eff.(effect.SendToPeer); ok {
 			fl.queue = append(fl.queue, tell)
 		}
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-func (fl *fleet) deliver(tell effect.Tell) {
+func (fl *fleet) deliver(tell effect.SendToPeer) {
 	raw, _ := wire.Encode(tell.Message)
 	fl.bytes += len(raw)
 	fl.count++
@@ -96,16 +96,16 @@
 	_, _ = fmt.Sscan(tell.Address, &number)
 	switch msg := tell.Message.(type) {
 	case wire.Probe:
-		fl.reduce(number, event.Probed(msg))
+		fl.reduce(number, event.ProbeReceived(msg))
 	case wire.ProbeAck:
 		fl.reduce(number, event.ProbeAcked(msg))
 	case wire.Gossip:
-		fl.reduce(number, event.Gossiped(msg))
+		fl.reduce(number, event.GossipReceived(msg))
 	}
 }
 
 // countInState returns the number of running members that consider the numbered one to be in the state.
-func (fl *fleet) countInState(number int, state event.WordState) int {
+func (fl *fleet) countInState(number int, state event.MemberStatus) int {
 	count := 0
 	for i, st := range fl.states {
 		if i == number || fl.down[i] {
@@ -126,10 +126,10 @@
 	fl.run(5 * time.Second)
 	fl.down[7] = true
 	fl.run(10 * time.Second)
-	assert.Equal(t, fl.countInState(7, event.WordDead), 29)
+	assert.Equal(t, fl.countInState(7, event.StatusDead), 29)
 	fl.down[7] = false
 	fl.run(40 * time.Second)
-	assert.Equal(t, fl.countInState(7, event.WordAlive), 29, "a member that was only unreachable must refute its death and be alive again")
+	assert.Equal(t, fl.countInState(7, event.StatusAlive), 29, "a member that was only unreachable must refute its death and be alive again")
 }
 
 func TestLeavingSpreadsWithinTwoSeconds(t *testing.T) {
@@ -141,13 +141,13 @@
 	fl.reduce(3, event.DrainStarted{})
 	fl.reduce(5, event.UpstreamsListed{Upstreams: []event.Upstream{{Name: "lyric-0", Address: "x", Leaving: true}}})
 	fl.run(2 * time.Second)
-	assert.Equal(t, fl.countInState(3, event.WordLeaving), 59)
+	assert.Equal(t, fl.countInState(3, event.StatusLeaving), 59)
 	for i, st := range fl.states {
-		assert.Equal(t, len(st.Left), 1, "%d", i)
+		assert.Equal(t, len(st.LeavingUpstreams), 1, "%d", i)
 	}
 	fl.down[3] = true
 	fl.run(10 * time.Second)
-	assert.Equal(t, fl.countInState(3, event.WordDead), 59)
+	assert.Equal(t, fl.countInState(3, event.StatusDead), 59)
 }
 
 func TestGossipAboutDelistedUpstreamStops(t *testing.T) {
@@ -178,7 +178,7 @@
 		fl.loss = 0
 		fl.run(30 * time.Second)
 		for i := range fl.states {
-			assert.Equal(t, fl.countInState(i, event.WordAlive), len(fl.states)-1)
+			assert.Equal(t, fl.countInState(i, event.StatusAlive), len(fl.states)-1)
 		}
 	})
 }
@@ -188,13 +188,13 @@
 	// circulate and must not be applied to the new one.
 	fl := newFleet(2, 3)
 	st := fl.states[0]
-	st.Reduce(fl.now, event.Gossiped{Words: []event.Word{{Name: "entry-1", State: event.WordLeaving, Incarnation: 1}}})
+	st.Reduce(fl.now, event.GossipReceived{Words: []event.StatusUpdate{{Name: "entry-1", State: event.StatusLeaving, Incarnation: 1}}})
 	assert.Assert(t, !st.Trusted("entry-1"))
 	next := instance(1)
 	next.Peer = "9"
 	st.Reduce(fl.now, event.InstancesListed{Instances: []event.Instance{instance(0), next}})
-	st.Reduce(fl.now, event.Gossiped{Words: []event.Word{{Name: "entry-1", State: event.WordAlive, Incarnation: 2}}})
-	st.Reduce(fl.now, event.Gossiped{Words: []event.Word{{Name: "entry-1", State: event.WordLeaving, Incarnation: 1}}})
+	st.Reduce(fl.now, event.GossipReceived{Words: []event.StatusUpdate{{Name: "entry-1", State: event.StatusAlive, Incarnation: 2}}})
+	st.Reduce(fl.now, event.GossipReceived{Words: []event.StatusUpdate{{Name: "entry-1", State: event.StatusLeaving, Incarnation: 1}}})
 	assert.Assert(t, st.Trusted("entry-1"))
 }
 
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -53,14 +53,14 @@
 	st.seq++
 	st.probes[st.seq] = pr
 	updates := st.piggyback(1)
-	if mb.State != event.WordAlive {
+	if mb.State != event.StatusAlive {
 		// Tells the member its state as known here, so that it can refute it.
-		updates = append(updates, event.Word{Name: pr.target, State: mb.State, Incarnation: mb.Incarnation})
+		updates = append(updates, event.StatusUpdate{Name: pr.target, State: mb.State, Incarnation: mb.Incarnation})
 	}
 	st.send(mb.Instance.Peer, wire.Probe{From: st.Self.Name, Peer: st.Self.Peer, Seq: st.seq, Words: updates})
 }
 
-func (st *State) handleProbed(ev event.Probed) {
+func (st *State) handleProbed(ev event.ProbeReceived) {
 	st.applyAll(ev.Words)
 	if ev.For != "" {
 		if mb, ok := st.Members[ev.For]; ok {
@@ -71,12 +71,12 @@
 	st.send(ev.Peer, wire.ProbeAck{From: st.Self.Name, Seq: ev.Seq, Words: append(st.piggyback(1), st.selfUpdate())})
 }
 
-func (st *State) selfUpdate() event.Word {
-	state := event.WordAlive
+func (st *State) selfUpdate() event.StatusUpdate {
+	state := event.StatusAlive
 	if st.leaving {
-		state = event.WordLeaving
+		state = event.StatusLeaving
 	}
-	return event.Word{Name: st.Self.Name, State: state, Incarnation: st.Incarnation}
+	return event.StatusUpdate{Name: st.Self.Name, State: state, Incarnation: st.Incarnation}
 }
 
 func (st *State) handleAcked(ev event.ProbeAcked) {
@@ -120,11 +120,11 @@
 		return
 	}
 	switch mb.State {
-	case event.WordAlive:
-		st.apply(event.Word{Name: pr.target, State: event.WordSuspect, Incarnation: mb.Incarnation})
-	case event.WordLeaving:
+	case event.StatusAlive:
+		st.apply(event.StatusUpdate{Name: pr.target, State: event.StatusSuspect, Incarnation: mb.Incarnation})
+	case event.StatusLeaving:
 		// A leaving member gets no new work in any case. Declaring it dead lets what it left behind be swept.
-		st.apply(event.Word{Name: pr.target, State: event.WordDead, Incarnation: mb.Incarnation})
+		st.apply(event.StatusUpdate{Name: pr.target, State: event.StatusDead, Incarnation: mb.Incarnation})
 	}
 }
 
--- a/internal/once/home.go
+++ b/internal/once/home.go
@@ -80,13 +80,13 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		wait = time.Until(deadline)
 	}
-	answer, err := cs.Transport.Ask(ctx, address, wire.ClaimAsk{
+	answer, err := cs.Transport.Ask(ctx, address, wire.ClaimRequest{
 		Shard: shard, Hash: op.hash, Digest: op.digest, Nonce: op.nonce, Lasts: time.Until(op.deadline), Wait: wait,
 	})
 	if err != nil {
 		return claimResult{}, false
 	}
-	got, ok := answer.(wire.ClaimAnswer)
+	got, ok := answer.(wire.ClaimResponse)
 	if !ok || got.Result == int(event.ClaimUnavailable) {
 		return claimResult{}, false
 	}
@@ -104,14 +104,14 @@
 	answer, err := cs.Transport.Ask(ctx, address, wire.ClaimSettle{
 		Shard: shard, Hash: op.hash, Nonce: op.nonce, Outcome: wire.ClaimOutcome(op.out), Release: op.release, Wait: forwardTimeout,
 	})
-	got, ok := answer.(wire.ClaimAnswer)
+	got, ok := answer.(wire.ClaimResponse)
 	return err == nil && ok && got.Result == int(event.ClaimWon)
 }
 
 // Handle answers a peer that considers this instance a shard's home. It returns nil for other kinds of messages.
 func (cs *Claims) Handle(ctx context.Context, msg wire.Message) wire.Message {
 	switch msg := msg.(type) {
-	case wire.ClaimAsk:
+	case wire.ClaimRequest:
 		return cs.handleClaim(ctx, msg)
 	case wire.ClaimSettle:
 		return cs.handleSettle(ctx, msg)
@@ -119,9 +119,9 @@
 	return nil
 }
 
-func (cs *Claims) handleClaim(ctx context.Context, msg wire.ClaimAsk) wire.ClaimAnswer {
+func (cs *Claims) handleClaim(ctx context.Context, msg wire.ClaimRequest) wire.ClaimResponse {
 	if msg.Shard < 0 || msg.Shard >= ShardCount {
-		return wire.ClaimAnswer{Result: int(event.ClaimUnavailable)}
+		return wire.ClaimResponse{Result: int(event.ClaimUnavailable)}
 	}
 	ctx, cancel := context.WithTimeout(ctx, min(msg.Wait, forwardTimeout))
 	defer cancel()
@@ -130,12 +130,12 @@
 	res := cs.claimHere(ctx, msg.Shard, &claimOp{
 		hash: msg.Hash, digest: msg.Digest, nonce: msg.Nonce, deadline: time.Now().Add(lasts), reply: make(chan claimResult, 1),
 	})
-	return wire.ClaimAnswer{Result: int(res.result), Outcome: wire.ClaimOutcome(res.out)}
+	return wire.ClaimResponse{Result: int(res.result), Outcome: wire.ClaimOutcome(res.out)}
 }
 
-func (cs *Claims) handleSettle(ctx context.Context, msg wire.ClaimSettle) wire.ClaimAnswer {
+func (cs *Claims) handleSettle(ctx context.Context, msg wire.ClaimSettle) wire.ClaimResponse {
 	if msg.Shard < 0 || msg.Shard >= ShardCount {
-		return wire.ClaimAnswer{Result: int(event.ClaimUnavailable)}
+		return wire.ClaimResponse{Result: int(event.ClaimUnavailable)}
 	}
 	ctx, cancel := context.WithTimeout(ctx, min(msg.Wait, forwardTimeout))
 	defer cancel()
@@ -144,7 +144,7 @@
 	}
 	op := &settleOp{hash: msg.Hash, nonce: msg.Nonce, out: event.Outcome(msg.Outcome), release: msg.Release, done: make(chan struct{})}
 	if cs.settleHere(ctx, msg.Shard, op) != nil {
-		return wire.ClaimAnswer{Result: int(event.ClaimUnavailable)}
+		return wire.ClaimResponse{Result: int(event.ClaimUnavailable)}
 	}
-	return wire.ClaimAnswer{Result: int(event.ClaimWon)}
+	return wire.ClaimResponse{Result: int(event.ClaimWon)}
 }
--- a/internal/order/keeper.go
+++ b/internal/order/keeper.go
@@ -35,27 +35,27 @@
 type Keeper struct {
 	self    event.Instance
 	holder  *lease.Holder
-	weights *Weights
+	weights *LoadLimiter
 	engines upstr.Engine
-	// Given is called for each order after it was sent or failed.
-	Given func(pool string, snd *Send, err error)
-	// Waited is called for each order that is postponed because the weight store's rate limit does not allow its loads, or
+	// OnSent is called for each order after it was sent or failed.
+	OnSent func(pool string, snd *PendingOrder, err error)
+	// OnPostponed is called for each order that is postponed because the weight store's rate limit does not allow its loads, or
 	// could not be checked.
-	Waited func(pool string)
+	OnPostponed func(pool string)
 	// rollouts holds the rollout of each pool whose lease is held, by the pool's name.
 	rollouts map[string]*Rollout
 }
 
 // NewKeeper returns a keeper for the instance.
-func NewKeeper(self event.Instance, holder *lease.Holder, weights *Weights, engines upstr.Engine) *Keeper {
+func NewKeeper(self event.Instance, holder *lease.Holder, weights *LoadLimiter, engines upstr.Engine) *Keeper {
 	return &Keeper{
-		self:     self,
-		holder:   holder,
-		weights:  weights,
-		engines:  engines,
-		Given:    func(string, *Send, error) {},
-		Waited:   func(string) {},
-		rollouts: map[string]*Rollout{},
+		self:        self,
+		holder:      holder,
+		weights:     weights,
+		engines:     engines,
+		OnSent:      func(string, *PendingOrder, error) {},
+		OnPostponed: func(string) {},
+		rollouts:    map[string]*Rollout{},
 	}
 }
 
@@ -77,7 +77,7 @@
 			wanted = append(wanted, pl.name)
 		}
 	}
-	kp.holder.Want(wanted)
+	kp.holder.SetWanted(wanted)
 	var group errgroup.Group
 	for _, pl := range pools {
 		held, ok := kp.holder.Check(pl.name)
@@ -98,8 +98,8 @@
 	_ = group.Wait()
 }
 
-// States reports whether the service configures what its replicas load or which roles they have.
-func States(svc decl.Service) bool {
+// ConfiguresReplicas reports whether the service configures what its replicas load or which roles they have.
+func ConfiguresReplicas(svc decl.Service) bool {
 	return svc.Kind == decl.KindModel && (len(svc.Roles) > 0 || len(WantedModels(svc, nil)) > 0)
 }
 
@@ -108,7 +108,7 @@
 	pools := map[string]*pool{}
 	for _, service := range sortedKeys(view.Services) {
 		svc := view.Services[service]
-		if !States(svc) {
+		if !ConfiguresReplicas(svc) {
 			continue
 		}
 		roles := AssignRoles(svc, replicaDomains(view, service))
@@ -171,7 +171,7 @@
 }
 
 // sendNext sends the next order of a pool whose lease is held.
-func (kp *Keeper) sendNext(ctx context.Context, pl *pool, ro *Rollout, held lease.Held) {
+func (kp *Keeper) sendNext(ctx context.Context, pl *pool, ro *Rollout, held lease.Lease) {
 	now := time.Now()
 	snd := ro.Next(Snapshot{Now: now, Service: pl.service, Replicas: pl.reps, Since: held.Since, Fence: held.Fence, TTL: lease.TTL})
 	if snd == nil {
@@ -180,7 +180,7 @@
 	ctx, cancel := context.WithTimeout(ctx, SendTimeout)
 	defer cancel()
 	if ok, err := kp.weights.Take(ctx, snd.Loads); err != nil || !ok {
-		kp.Waited(pl.name)
+		kp.OnPostponed(pl.name)
 		return
 	}
 	// The lease may have been lost while the order was chosen and its loads were taken.
@@ -189,7 +189,7 @@
 	}
 	err := kp.engines.Order(ctx, snd.Replica.Address, snd.Order)
 	ro.Sent(now, snd)
-	kp.Given(pl.name, snd, err)
+	kp.OnSent(pl.name, snd, err)
 	if errorx.IsOfType(err, upstr.Fenced) {
 		kp.holder.Drop(pl.name)
 	}
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -55,8 +55,8 @@
 	TTL time.Duration
 }
 
-// Send is an order to be sent now.
-type Send struct {
+// PendingOrder is an order to be sent now.
+type PendingOrder struct {
 	Replica Replica
 	Order   upstr.Order
 	// Loads is the number of models and adapters whose weights the replica has to fetch for the order.
@@ -81,13 +81,13 @@
 }
 
 // Next returns the order to send now, or nil. Sent must be called for each order that may have been sent.
-func (ro *Rollout) Next(snap Snapshot) *Send {
+func (ro *Rollout) Next(snap Snapshot) *PendingOrder {
 	if snap.Now.Before(snap.Since.Add(takeoverWait(snap.Service, snap.TTL))) {
 		return nil
 	}
 	ro.forgetUnlisted(snap.Replicas)
 	unavailable := 0
-	var outdated []Send
+	var outdated []PendingOrder
 	for _, rep := range snap.Replicas {
 		if ro.inProgress(snap, rep) {
 			unavailable++
@@ -112,7 +112,7 @@
 
 // choose returns the order for a replica that serves none of the wanted models, which costs no capacity, or else the first
 // order if fewer than the allowed number of replicas are unavailable.
-func choose(outdated []Send, unavailable, allowed int) *Send {
+func choose(outdated []PendingOrder, unavailable, allowed int) *PendingOrder {
 	for i, snd := range outdated {
 		if snd.idle() {
 			return &outdated[i]
@@ -125,7 +125,7 @@
 }
 
 // idle reports whether the replica currently serves none of the wanted models, in any version.
-func (snd *Send) idle() bool {
+func (snd *PendingOrder) idle() bool {
 	for _, name := range snd.Order.Models {
 		if upstr.Offers(snd.Replica.Models, requestName(name)) {
 			return false
@@ -145,7 +145,7 @@
 }
 
 // Sent records an order that may have been sent.
-func (ro *Rollout) Sent(now time.Time, snd *Send) {
+func (ro *Rollout) Sent(now time.Time, snd *PendingOrder) {
 	ro.sent[snd.Replica.Name] = sentOrder{order: snd.Order, at: now}
 }
 
@@ -182,19 +182,19 @@
 }
 
 // neededOrder returns the order that the replica needs, or false if the replica is in the wanted state.
-func neededOrder(snap Snapshot, rep Replica) (Send, bool) {
+func neededOrder(snap Snapshot, rep Replica) (PendingOrder, bool) {
 	order := upstr.Order{Fence: snap.Fence, Models: WantedModels(snap.Service, rep.Models), Role: rep.WantedRole}
 	if len(order.Models) == 0 && order.Role == "" {
-		return Send{}, false
+		return PendingOrder{}, false
 	}
 	if len(order.Models) == 0 {
 		// An order states all models to be loaded. A change of the role only must repeat those that are.
 		order.Models = rep.Models
 	}
 	if matches(rep, order) {
-		return Send{}, false
+		return PendingOrder{}, false
 	}
-	snd := Send{Replica: rep, Order: order}
+	snd := PendingOrder{Replica: rep, Order: order}
 	for _, name := range order.Models {
 		if !slices.Contains(rep.Models, name) {
 			snd.Loads++
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -163,9 +163,9 @@
 		kv.SetFaults(stand.Faults{LostAnswers: 0.2})
 		var at []time.Time
 		waiting := map[int]bool{}
-		var holders []*order.Weights
+		var holders []*order.LoadLimiter
 		for i := range 10 {
-			holders = append(holders, order.NewWeights(stand.NewMemory(kv), fmt.Sprintf("entry-%d", i), 6))
+			holders = append(holders, order.NewLoadLimiter(stand.NewMemory(kv), fmt.Sprintf("entry-%d", i), 6))
 			waiting[i] = true
 		}
 		for len(waiting) > 0 {
--- a/internal/order/weights.go
+++ b/internal/order/weights.go
@@ -30,9 +30,9 @@
 	Nonce string
 }
 
-// Weights enforces the weight store's rate limit across the whole fleet by a value in the key-value service. Orders are
+// LoadLimiter enforces the weight store's rate limit across the whole fleet by a value in the key-value service. Orders are
 // rare, minutes apart in each pool, so the read and the write for each cost next to nothing.
-type Weights struct {
+type LoadLimiter struct {
 	st store.Store
 	// PerMinute is how many loads the weight store serves per minute.
 	PerMinute int
@@ -40,16 +40,16 @@
 	nextNonce int
 }
 
-// NewWeights returns the limiter of one instance. The name must be unique to this run of the instance, since the nonces
+// NewLoadLimiter returns the limiter of one instance. The name must be unique to this run of the instance, since the nonces
 // contain it.
-func NewWeights(st store.Store, name string, perMinute int) *Weights {
-	return &Weights{st: st, name: name, PerMinute: perMinute}
+func NewLoadLimiter(st store.Store, name string, perMinute int) *LoadLimiter {
+	return &LoadLimiter{st: st, name: name, PerMinute: perMinute}
 }
 
 // Take takes the loads of one order from the limit, or returns false if they have to wait. An order with more loads than
 // fit into a minute takes the whole minute's. After a lost response, loads may stay taken for an order that is never sent;
 // the rate then stays below the limit for a minute.
-func (ws *Weights) Take(ctx context.Context, loads int) (bool, error) {
+func (ws *LoadLimiter) Take(ctx context.Context, loads int) (bool, error) {
 	if loads == 0 {
 		return true, nil
 	}
@@ -64,7 +64,7 @@
 	return false, nil
 }
 
-func (ws *Weights) take(ctx context.Context, loads int, nonce string) (bool, error) {
+func (ws *LoadLimiter) take(ctx context.Context, loads int, nonce string) (bool, error) {
 	now := time.Now()
 	list, revision, err := ws.read(ctx)
 	if err != nil {
@@ -87,7 +87,7 @@
 	return err == nil, err
 }
 
-func (ws *Weights) read(ctx context.Context) ([]loadEntry, int64, error) {
+func (ws *LoadLimiter) read(ctx context.Context) ([]loadEntry, int64, error) {
 	pair, err := ws.st.Get(ctx, weightsKey)
 	if errorx.IsOfType(err, store.Missing) {
 		return nil, 0, nil
--- a/internal/peers/quic_test.go
+++ b/internal/peers/quic_test.go
@@ -30,7 +30,7 @@
 		case got <- received{from, msg}:
 		default:
 		}
-		if want, ok := msg.(wire.ConfigWant); ok {
+		if want, ok := msg.(wire.ConfigRequest); ok {
 			return wire.ConfigPatches{First: want.After}
 		}
 		return nil
@@ -75,7 +75,7 @@
 	authority := newAuthority(t)
 	quA, gotA := start(t, issue(t, authority, "entry-1"))
 	quB, gotB := start(t, issue(t, authority, "entry-2"))
-	answer, err := ask(t, quA, quB.Address(), wire.ConfigWant{After: 7})
+	answer, err := ask(t, quA, quB.Address(), wire.ConfigRequest{After: 7})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, answer, wire.ConfigPatches{First: 7})
 	assert.DeepEqual(t, (<-gotB).from, "entry-1")
@@ -96,10 +96,10 @@
 	foreign, _ := start(t, issue(t, newAuthority(t), "entry-1"))
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	_, err := foreign.Ask(ctx, good.Address(), wire.ConfigWant{})
+	_, err := foreign.Ask(ctx, good.Address(), wire.ConfigRequest{})
 	assert.Assert(t, errorx.IsOfType(err, peers.Unreachable), "%v", err)
 	foreign.Tell(good.Address(), wire.Quarantine{})
-	_, err = good.Ask(ctx, foreign.Address(), wire.ConfigWant{})
+	_, err = good.Ask(ctx, foreign.Address(), wire.ConfigRequest{})
 	assert.Assert(t, errorx.IsOfType(err, peers.Unreachable), "%v", err)
 	assert.Equal(t, len(got), 0)
 }
@@ -120,18 +120,18 @@
 	}
 	quA, _ := start(t, load(old, dir, "entry-1"))
 	quB, _ := start(t, load(old, other, "entry-2"))
-	_, err := ask(t, quA, quB.Address(), wire.ConfigWant{})
+	_, err := ask(t, quA, quB.Address(), wire.ConfigRequest{})
 	assert.NilError(t, err)
 	replace(t, next, dir, "entry-1")
 	eventually(t, func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		defer cancel()
-		_, err := quB.Ask(ctx, quA.Address(), wire.ConfigWant{})
+		_, err := quB.Ask(ctx, quA.Address(), wire.ConfigRequest{})
 		return err != nil
 	})
 	replace(t, next, other, "entry-2")
 	eventually(t, func() bool {
-		_, err := ask(t, quB, quA.Address(), wire.ConfigWant{})
+		_, err := ask(t, quB, quA.Address(), wire.ConfigRequest{})
 		return err == nil
 	})
 }
@@ -166,7 +166,7 @@
 	authority := newAuthority(t)
 	qu, _ := start(t, issue(t, authority, "entry-1"))
 	first := listenBehindProxy(t, issue(t, authority, "entry-2"), "127.0.0.1:0")
-	_, err := ask(t, qu, first.address, wire.ConfigWant{})
+	_, err := ask(t, qu, first.address, wire.ConfigRequest{})
 	assert.NilError(t, err)
 	first.kill()
 	second := listenBehindProxy(t, issue(t, authority, "entry-2"), first.address)
@@ -174,7 +174,7 @@
 	eventually(t, func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		_, err := qu.Ask(ctx, first.address, wire.ConfigWant{})
+		_, err := qu.Ask(ctx, first.address, wire.ConfigRequest{})
 		return err == nil
 	})
 	assert.Equal(t, qu.Traffic().Dialled, int64(2))
--- a/internal/permit/holder.go
+++ b/internal/permit/holder.go
@@ -28,7 +28,7 @@
 
 // hold is a request that has a permit or waits for one.
 type hold struct {
-	event.PermitAsked
+	event.PermitRequested
 	id event.RequestID
 	// since is when the request began to wait.
 	since time.Time
@@ -74,13 +74,13 @@
 
 // Ask requests a permit from the pools of the failure domains, in their order, and returns the messages to send. Reduce
 // returns an event.PermitAnswered later, unless the request is released before.
-func (ho *Holder) Ask(now time.Time, id event.RequestID, ask event.PermitAsked, domains []string) []effect.Effect {
+func (ho *Holder) Ask(now time.Time, id event.RequestID, ask event.PermitRequested, domains []string) []effect.Effect {
 	ho.now = now
 	ho.effects = ho.effects[:0]
 	ask.Holder = ho.Self.Name
 	ask.Incarnation = ho.Incarnation
 	ask.Peer = ho.Self.Peer
-	hd := &hold{PermitAsked: ask, id: id, since: now.Add(-ask.Waited), until: now.Add(ask.Wait), movedAt: now, nextDomains: domains}
+	hd := &hold{PermitRequested: ask, id: id, since: now.Add(-ask.Waited), until: now.Add(ask.Wait), movedAt: now, nextDomains: domains}
 	ho.holds[ask.Request] = hd
 	hd.moveToNextDomain()
 	ho.sendHold(hd)
@@ -129,9 +129,9 @@
 	ho.effects = ho.effects[:0]
 	var answers []event.PermitAnswered
 	switch ev := ev.(type) {
-	case event.PermitGranted:
+	case event.PermitDecided:
 		answers = ho.handleGranted(ev)
-	case event.PermitsKnown:
+	case event.PermitStatusReceived:
 		ho.handleKnown(ev)
 	case event.Ticked:
 		answers = ho.tick()
@@ -140,7 +140,7 @@
 }
 
 func (ho *Holder) send(to event.Instance, msg wire.Message) {
-	ho.effects = append(ho.effects, effect.Tell{Address: to.Peer, Message: msg})
+	ho.effects = append(ho.effects, effect.SendToPeer{Address: to.Peer, Message: msg})
 }
 
 // Coordinators returns the coordinator of a pool and the instance that would replace it. They are chosen by rendezvous
@@ -230,14 +230,14 @@
 }
 
 func (ho *Holder) sendAsk(to event.Instance, hd *hold) {
-	ask := hd.PermitAsked
+	ask := hd.PermitRequested
 	ask.Peer = ho.Self.Peer
 	ask.Waited = ho.now.Sub(hd.since)
 	ask.Wait = hd.until.Sub(ho.now)
-	ho.send(to, wire.PermitAsk(ask))
+	ho.send(to, wire.PermitRequest(ask))
 }
 
-func (ho *Holder) handleGranted(ev event.PermitGranted) []event.PermitAnswered {
+func (ho *Holder) handleGranted(ev event.PermitDecided) []event.PermitAnswered {
 	hd, ok := ho.holds[ev.Request]
 	if !ok {
 		if ev.Granted {
@@ -267,7 +267,7 @@
 }
 
 // returnUnwanted returns a grant that arrived after the request was released.
-func (ho *Holder) returnUnwanted(ev event.PermitGranted) {
+func (ho *Holder) returnUnwanted(ev event.PermitDecided) {
 	for _, inst := range ho.Instances {
 		if inst.Name == ev.From {
 			ho.send(inst, wire.PermitReturn{Request: ev.Request, Service: ev.Service, FailureDomain: ev.FailureDomain})
@@ -275,7 +275,7 @@
 	}
 }
 
-func (ho *Holder) handleKnown(ev event.PermitsKnown) {
+func (ho *Holder) handleKnown(ev event.PermitStatusReceived) {
 	delete(ho.unanswered, ev.From)
 	for _, request := range ev.Unknown {
 		hd, ok := ho.holds[request]
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -17,8 +17,8 @@
 const (
 	// Headroom is the fraction of an engine's memory that long prompts must leave to short ones.
 	Headroom = 0.15
-	// Lasts is the time after which a reservation expires unless it is renewed.
-	Lasts = 6 * time.Second
+	// ReservationTTL is the time after which a reservation expires unless it is renewed.
+	ReservationTTL = 6 * time.Second
 	// settleTime is how long a new coordinator waits before it grants memory, so that holders can report their permits
 	// first; otherwise it could grant memory that is already reserved. It is longer than holders take to notice the change
 	// of the coordinator.
@@ -53,7 +53,7 @@
 
 // Reservation is memory reserved for one request.
 type Reservation struct {
-	event.PermitAsked
+	event.PermitRequested
 	// Share is the memory in tokens reserved on each of the Upstreams, which are in the order of their segments.
 	Share int64
 	// Until is when the reservation expires unless it is renewed.
@@ -67,10 +67,10 @@
 	Engines func(pool Pool) []Engine
 	// Upstream returns a replica by name, including leaving and gone ones as long as they are known.
 	Upstream func(name string) (event.Upstream, bool)
-	// Gone reports whether the holder's run has ended: it was declared dead, or a later run has its name.
-	Gone func(holder string, incarnation uint64) bool
-	// Listed reports whether the platform's list contains the holder. A new holder is not in it yet, a dead one no longer.
-	Listed func(holder string) bool
+	// HolderGone reports whether the holder's run has ended: it was declared dead, or a later run has its name.
+	HolderGone func(holder string, incarnation uint64) bool
+	// HolderListed reports whether the platform's list contains the holder. A new holder is not in it yet, a dead one no longer.
+	HolderListed func(holder string) bool
 
 	now     time.Time
 	effects []effect.Effect
@@ -108,7 +108,7 @@
 	co.now = now
 	co.effects = co.effects[:0]
 	switch ev := ev.(type) {
-	case event.PermitAsked:
+	case event.PermitRequested:
 		co.handleAsked(ev)
 	case event.PermitReturned:
 		co.handleReturned(ev)
@@ -129,7 +129,7 @@
 }
 
 func (co *Coordinator) send(address string, msg wire.Message) {
-	co.effects = append(co.effects, effect.Tell{Address: address, Message: msg})
+	co.effects = append(co.effects, effect.SendToPeer{Address: address, Message: msg})
 }
 
 func (co *Coordinator) pool(key Pool) *pool {
@@ -148,11 +148,11 @@
 	return pl
 }
 
-func (co *Coordinator) handleAsked(ev event.PermitAsked) {
+func (co *Coordinator) handleAsked(ev event.PermitRequested) {
 	ev.Tokens = max(1, ev.Tokens)
 	pl := co.pool(Pool{ev.Service, ev.FailureDomain})
 	if rv, ok := pl.reservations[ev.Request]; ok {
-		rv.Until = co.now.Add(Lasts)
+		rv.Until = co.now.Add(ReservationTTL)
 		co.grant(rv)
 		return
 	}
@@ -162,11 +162,11 @@
 	}
 	engines := co.Engines(pl.key)
 	if !fits(engines, ev.Tokens) || len(pl.queue) >= maxQueue {
-		co.answer(ev, wire.PermitGrant{RetryAfter: Lasts})
+		co.answer(ev, wire.PermitGrant{RetryAfter: ReservationTTL})
 		return
 	}
 	if pl.findQueued(ev.Request) == nil {
-		pl.queue = append(pl.queue, &waiter{PermitAsked: ev, since: co.now.Add(-ev.Waited), until: co.now.Add(ev.Wait)})
+		pl.queue = append(pl.queue, &waiter{PermitRequested: ev, since: co.now.Add(-ev.Waited), until: co.now.Add(ev.Wait)})
 	}
 	co.scanQueue(pl, engines)
 	if pl.findQueued(ev.Request) != nil {
@@ -175,9 +175,9 @@
 }
 
 // restore records a reservation that an earlier coordinator granted. It is valid even if it exceeds the free memory.
-func (co *Coordinator) restore(pl *pool, ev event.PermitAsked) {
+func (co *Coordinator) restore(pl *pool, ev event.PermitRequested) {
 	pl.dequeue(ev.Request)
-	rv := &Reservation{PermitAsked: ev, Share: shareOf(ev.Tokens, len(ev.Upstreams)), Until: co.now.Add(Lasts)}
+	rv := &Reservation{PermitRequested: ev, Share: shareOf(ev.Tokens, len(ev.Upstreams)), Until: co.now.Add(ReservationTTL)}
 	pl.reserve(rv)
 	co.grant(rv)
 }
@@ -200,10 +200,10 @@
 }
 
 func (co *Coordinator) grant(rv *Reservation) {
-	co.answer(rv.PermitAsked, wire.PermitGrant{Granted: true, Upstreams: rv.Upstreams, Lasts: rv.Until.Sub(co.now)})
+	co.answer(rv.PermitRequested, wire.PermitGrant{Granted: true, Upstreams: rv.Upstreams, Lasts: rv.Until.Sub(co.now)})
 }
 
-func (co *Coordinator) answer(ask event.PermitAsked, msg wire.PermitGrant) {
+func (co *Coordinator) answer(ask event.PermitRequested, msg wire.PermitGrant) {
 	msg.From = co.Self
 	msg.Request = ask.Request
 	msg.Service = ask.Service
@@ -229,7 +229,7 @@
 	var unknown []string
 	for _, request := range ev.Requests {
 		if rv, ok := pl.reservations[request]; ok {
-			rv.Until = co.now.Add(Lasts)
+			rv.Until = co.now.Add(ReservationTTL)
 			continue
 		}
 		unknown = append(unknown, request)
@@ -237,7 +237,7 @@
 	for _, request := range ev.Waiting {
 		if rv, ok := pl.reservations[request]; ok {
 			// The grant was lost. Unless it is sent again, the holder waits and renews until its deadline.
-			rv.Until = co.now.Add(Lasts)
+			rv.Until = co.now.Add(ReservationTTL)
 			co.grant(rv)
 			continue
 		}
@@ -245,7 +245,7 @@
 			unknown = append(unknown, request)
 		}
 	}
-	co.send(ev.Peer, wire.PermitState{From: co.Self, Unknown: unknown})
+	co.send(ev.Peer, wire.PermitStatus{From: co.Self, Unknown: unknown})
 }
 
 func (co *Coordinator) tick() {
@@ -268,12 +268,12 @@
 // still be running.
 func (co *Coordinator) sweep(pl *pool) {
 	for _, rv := range pl.reservations {
-		gone := co.Gone(rv.Holder, rv.Incarnation)
+		gone := co.HolderGone(rv.Holder, rv.Incarnation)
 		if !gone && co.now.Before(rv.Until) {
 			continue
 		}
 		pl.free(rv)
-		if gone || !co.Listed(rv.Holder) {
+		if gone || !co.HolderListed(rv.Holder) {
 			co.effects = append(co.effects, effect.Sweep{Request: rv.Request, Upstreams: co.upstreams(rv.Upstreams)})
 		}
 	}
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -32,13 +32,13 @@
 	pool := engines(count)
 	co.Engines = func(permit.Pool) []permit.Engine { return pool }
 	co.Upstream = func(name string) (event.Upstream, bool) { return event.Upstream{Name: name}, true }
-	co.Gone = func(string, uint64) bool { return false }
-	co.Listed = func(string) bool { return true }
+	co.HolderGone = func(string, uint64) bool { return false }
+	co.HolderListed = func(string) bool { return true }
 	return co
 }
 
-func newAsk(request string, tokens int64) event.PermitAsked {
-	return event.PermitAsked{
+func newAsk(request string, tokens int64) event.PermitRequested {
+	return event.PermitRequested{
 		Holder: "entry-1", Peer: "1", Request: request, Service: "lyric", FailureDomain: "a", Organisation: "parish",
 		Weight: 1, Tokens: tokens, Wait: time.Minute,
 	}
@@ -47,7 +47,7 @@
 func grantedUpstreams(effects []effect.Effect) map[string][]string {
 	granted := map[string][]string{}
 	for _, eff := range effects {
-		if tell, ok := eff.(effect.Tell); ok {
+		if tell, ok := eff.(effect.SendToPeer); ok {
 			if msg, ok := tell.Message.(wire.PermitGrant); ok && msg.Granted {
 				granted[msg.Request] = msg.Upstreams
 			}
@@ -149,8 +149,8 @@
 			co.Reduce(now, newAsk("r", 500_000))
 			now = now.Add(time.Second)
 			assert.Equal(t, len(grantedUpstreams(co.Reduce(now, event.Ticked{}))["r"]), 2)
-			co.Gone = func(string, uint64) bool { return tc.dead }
-			now = now.Add(permit.Lasts)
+			co.HolderGone = func(string, uint64) bool { return tc.dead }
+			now = now.Add(permit.ReservationTTL)
 			swept := 0
 			for _, eff := range co.Reduce(now, event.Ticked{}) {
 				if sw, ok := eff.(effect.Sweep); ok {
@@ -207,14 +207,14 @@
 
 func (cl *cluster) deliver(effects []effect.Effect) {
 	for _, eff := range append([]effect.Effect(nil), effects...) {
-		tell, ok := eff.(effect.Tell)
+		tell, ok := eff.(effect.SendToPeer)
 		if !ok || tell.Address == cl.down {
 			continue
 		}
 		cl.recipients = append(cl.recipients, tell.Address)
 		switch msg := tell.Message.(type) {
-		case wire.PermitAsk:
-			cl.deliver(cl.cos[tell.Address].Reduce(cl.now, event.PermitAsked(msg)))
+		case wire.PermitRequest:
+			cl.deliver(cl.cos[tell.Address].Reduce(cl.now, event.PermitRequested(msg)))
 		case wire.PermitRenew:
 			cl.deliver(cl.cos[tell.Address].Reduce(cl.now, event.PermitRenewed(msg)))
 		case wire.PermitReturn:
@@ -224,9 +224,9 @@
 				cl.lostGrants--
 				continue
 			}
-			cl.reduce(event.PermitGranted(msg))
-		case wire.PermitState:
-			cl.reduce(event.PermitsKnown(msg))
+			cl.reduce(event.PermitDecided(msg))
+		case wire.PermitStatus:
+			cl.reduce(event.PermitStatusReceived(msg))
 		}
 	}
 }
@@ -320,14 +320,14 @@
 // BenchmarkBytes measures the encoded size of each message that the holder and the coordinator exchange for one permit.
 func BenchmarkBytes(b *testing.B) {
 	request := "entry-012.5f3k2a9c1d-3f"
-	ask := wire.PermitAsk(newAsk(request, 1_000_000))
+	ask := wire.PermitRequest(newAsk(request, 1_000_000))
 	names := []string{"lyric-assist-0123", "lyric-assist-0124", "lyric-assist-0125"}
 	messages := map[string]wire.Message{
 		"Ask":    ask,
-		"Grant":  wire.PermitGrant{From: "entry-012", Request: request, Service: "lyric", FailureDomain: "south-a", Granted: true, Upstreams: names, Lasts: permit.Lasts},
+		"Grant":  wire.PermitGrant{From: "entry-012", Request: request, Service: "lyric", FailureDomain: "south-a", Granted: true, Upstreams: names, Lasts: permit.ReservationTTL},
 		"Return": wire.PermitReturn{Request: request, Service: "lyric", FailureDomain: "south-a"},
 		"Renew":  wire.PermitRenew{Holder: "entry-012", Incarnation: 1 << 50, Peer: "10.0.0.1:8081", Service: "lyric", FailureDomain: "south-a", Requests: []string{request}},
-		"State":  wire.PermitState{From: "entry-012"},
+		"State":  wire.PermitStatus{From: "entry-012"},
 	}
 	for name, msg := range messages {
 		b.Run(name, func(b *testing.B) {
--- a/internal/permit/queue.go
+++ b/internal/permit/queue.go
@@ -10,7 +10,7 @@
 
 // waiter is a request in a pool's queue.
 type waiter struct {
-	event.PermitAsked
+	event.PermitRequested
 	// since is when the request began to wait.
 	since time.Time
 	// until is when the request stops waiting.
@@ -51,7 +51,7 @@
 	if co.now.Before(pl.grantFrom) {
 		return
 	}
-	pl.queue = slices.DeleteFunc(pl.queue, func(wt *waiter) bool { return !co.now.Before(wt.until) || co.Gone(wt.Holder, wt.Incarnation) })
+	pl.queue = slices.DeleteFunc(pl.queue, func(wt *waiter) bool { return !co.now.Before(wt.until) || co.HolderGone(wt.Holder, wt.Incarnation) })
 	for co.grantNext(pl, engines) {
 	}
 }
@@ -73,7 +73,7 @@
 		}
 		pl.dequeue(wt.Request)
 		pl.advanceTags(wt)
-		rv := &Reservation{PermitAsked: wt.PermitAsked, Share: shareOf(wt.Tokens, len(names)), Until: co.now.Add(Lasts)}
+		rv := &Reservation{PermitRequested: wt.PermitRequested, Share: shareOf(wt.Tokens, len(names)), Until: co.now.Add(ReservationTTL)}
 		rv.Upstreams = names
 		pl.reserve(rv)
 		co.grant(rv)
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -211,7 +211,7 @@
 	req := (&http.Request{
 		Method: cl.req.Method, Host: cl.req.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		URL:    targetURL(cl.req, att.eff.Replica.Address),
-		Header: hops.Kept(cl.req.Header),
+		Header: hops.EndToEnd(cl.req.Header),
 	}).WithContext(ctx)
 	if len(cl.body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(cl.body))
@@ -242,7 +242,7 @@
 
 func copyHeader(to, from http.Header) {
 	connection := to.Get("Connection")
-	for name, values := range hops.Kept(from) {
+	for name, values := range hops.EndToEnd(from) {
 		to[name] = values
 	}
 	if connection != "" {
--- a/internal/route/cost.go
+++ b/internal/route/cost.go
@@ -24,7 +24,7 @@
 
 // cost estimates the cost of sending the request to the replica, in seconds. The replica holds the first cached tokens of
 // the prompt.
-func (rep *Replica) cost(now time.Time, want *Want, cached int64) float64 {
+func (rep *Replica) cost(now time.Time, want *PickCriteria, cached int64) float64 {
 	var total float64
 	if rep.Upstream.FailureDomain != rep.pool.st.FailureDomain {
 		total += crossDomainCost.Seconds()
@@ -63,7 +63,7 @@
 // highest priority only need free memory, since the engine schedules them first. The others leave headroom for the classes
 // above theirs, and a queued request of low priority also needs the allowance of drawSendAllowance. While the engine has
 // prefill work queued ahead of them, they wait in this instance's queue, where its discipline orders them.
-func (rep *Replica) hasRoom(now time.Time, want *Want) bool {
+func (rep *Replica) hasRoom(now time.Time, want *PickCriteria) bool {
 	if rep.pool.service.Kind == decl.KindPlain {
 		return true
 	}
@@ -71,14 +71,14 @@
 	if running == 0 {
 		return true
 	}
-	usable := 1 - min(headroomStep*float64(want.Above), maxHeadroom)
+	usable := 1 - min(headroomStep*float64(want.HigherClasses), maxHeadroom)
 	if memory := rep.memoryTokens(); memory > 0 && float64(rep.estimatedTokens(now)+want.Tokens()) > usable*float64(memory) {
 		return false
 	}
-	if want.Above == 0 {
+	if want.HigherClasses == 0 {
 		return true
 	}
-	if want.Above >= lowPriorityAbove && want.Queued && !rep.sendAllowed && rep.reportFresh(now) {
+	if want.HigherClasses >= lowPriorityAbove && want.Queued && !rep.sendAllowed && rep.reportFresh(now) {
 		return false
 	}
 	if float64(running+1) > max(1, usable*float64(rep.pool.service.MaxRunning)) {
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -24,13 +24,13 @@
 // Pick returns a replica with room for the request, or nil. Sail picks the replica with the lowest cost among a random
 // sample of the local failure domain, another one of the other domains, and the replicas that hold the longest known prefix
 // of the prompt. The baselines ignore cost, prefixes and failure domains.
-func (st *State) Pick(now time.Time, want *Want) *Replica {
+func (st *State) Pick(now time.Time, want *PickCriteria) *Replica {
 	st.now = now
 	pl, ok := st.pools[want.Service]
 	if !ok || len(pl.local.reps)+len(pl.remote.reps) == 0 {
 		return nil
 	}
-	if _, own := st.Policy.(Sail); !own {
+	if _, own := st.Policy.(LowestCost); !own {
 		return st.pickBaseline(pl, want)
 	}
 	known, depth := st.prefixes.longest(want.Prefixes)
@@ -41,7 +41,7 @@
 		}
 	}
 	localCount, remoteCount := sampledReplicas, max(1, sampledReplicas-len(pl.local.reps))
-	if want.Above >= lowPriorityAbove {
+	if want.HigherClasses >= lowPriorityAbove {
 		localCount, remoteCount = sampledForLowPriority, sampledForLowPriority
 	}
 	st.sample(&pl.local, want, localCount)
@@ -61,7 +61,7 @@
 }
 
 // sample adds up to count eligible replicas of the set to the candidates. It examines the set from a random replica on.
-func (st *State) sample(set *openSet, want *Want, count int) {
+func (st *State) sample(set *openSet, want *PickCriteria, count int) {
 	open := len(set.reps)
 	if open == 0 {
 		return
@@ -85,7 +85,7 @@
 }
 
 // eligible reports whether an open replica may be sent the request.
-func (rep *Replica) eligible(now time.Time, want *Want) bool {
+func (rep *Replica) eligible(now time.Time, want *PickCriteria) bool {
 	if rep.Probing && !want.Repeatable {
 		return false
 	}
@@ -100,7 +100,7 @@
 
 // pickFallback picks a replica that failed this request before, or one on probation, when no other replica is open. It picks
 // the one whose failure of the request is the earliest, so that the request does not return to a replica that has just died.
-func (st *State) pickFallback(pl *pool, want *Want) *Replica {
+func (st *State) pickFallback(pl *pool, want *PickCriteria) *Replica {
 	var best *Replica
 	for _, set := range []*openSet{&pl.local, &pl.remote} {
 		for _, rep := range set.reps {
@@ -121,7 +121,7 @@
 }
 
 // lastTriedIndex returns the last index of the replica in want.Tried, -1 if it is not there.
-func lastTriedIndex(want *Want, rep *Replica) int {
+func lastTriedIndex(want *PickCriteria, rep *Replica) int {
 	for i := len(want.Tried) - 1; i >= 0; i-- {
 		if want.Tried[i] == rep.Upstream.Name {
 			return i
@@ -140,7 +140,7 @@
 	return 0
 }
 
-func (st *State) pickBaseline(pl *pool, want *Want) *Replica {
+func (st *State) pickBaseline(pl *pool, want *PickCriteria) *Replica {
 	if _, ok := st.Policy.(RoundRobin); ok {
 		return st.pickRoundRobin(want)
 	}
--- a/internal/route/policy.go
+++ b/internal/route/policy.go
@@ -5,8 +5,8 @@
 // Policy selects the load balancing algorithm.
 type Policy interface{ isPolicy() }
 
-// Sail is the default policy: it picks the replica with the lowest estimated time to the first token, see Pick.
-type Sail struct{}
+// LowestCost is the default policy: it picks the replica with the lowest estimated time to the first token, see Pick.
+type LowestCost struct{}
 
 // RoundRobin picks the replicas of a service in rotation. It is a baseline for comparison.
 type RoundRobin struct{}
@@ -14,13 +14,13 @@
 // LeastRequests picks the replica with the fewest requests of this instance in flight. It is a baseline for comparison.
 type LeastRequests struct{}
 
-func (Sail) isPolicy()          {}
+func (LowestCost) isPolicy()    {}
 func (RoundRobin) isPolicy()    {}
 func (LeastRequests) isPolicy() {}
 
 // Names of the policies in the settings.
 const (
-	NameSail          = "dandelionsail"
+	NameLowestCost    = "dandelionsail"
 	NameRoundRobin    = "round-robin"
 	NameLeastRequests = "least-requests"
 )
@@ -28,8 +28,8 @@
 // ParsePolicy returns the policy with the name. It returns false if there is none.
 func ParsePolicy(name string) (Policy, bool) {
 	switch name {
-	case NameSail:
-		return Sail{}, true
+	case NameLowestCost:
+		return LowestCost{}, true
 	case NameRoundRobin:
 		return RoundRobin{}, true
 	case NameLeastRequests:
@@ -40,7 +40,7 @@
 
 // pickRoundRobin returns the next open replica of the service after the one returned last. One that failed the request
 // before is returned only if no other is open.
-func (st *State) pickRoundRobin(want *Want) *Replica {
+func (st *State) pickRoundRobin(want *PickCriteria) *Replica {
 	reps := st.Services[want.Service]
 	var tried *Replica
 	for range reps {
--- a/internal/route/policy_test.go
+++ b/internal/route/policy_test.go
@@ -26,7 +26,7 @@
 			FailureDomain: string(rune('a' + i/2)),
 		})
 	}
-	st.List(start, listed)
+	st.ApplyList(start, listed)
 	return st
 }
 
@@ -39,8 +39,8 @@
 		t.Run(name, func(t *testing.T) {
 			st := newState(policy)
 			for i := range 12 {
-				rep := st.Pick(start, &route.Want{ID: event.RequestID(i), Service: "lyric", Prompt: 100})
-				st.Sent(start, rep.Upstream.Name, &route.Want{ID: event.RequestID(i), Service: "lyric", Prompt: 100})
+				rep := st.Pick(start, &route.PickCriteria{ID: event.RequestID(i), Service: "lyric", Prompt: 100})
+				st.RecordSent(start, rep.Upstream.Name, &route.PickCriteria{ID: event.RequestID(i), Service: "lyric", Prompt: 100})
 			}
 			for _, rep := range st.Replicas {
 				assert.Equal(t, rep.Running, int64(3), rep.Upstream.Name)
--- a/internal/route/replica.go
+++ b/internal/route/replica.go
@@ -15,10 +15,10 @@
 // Replica holds the state of one upstream.
 type Replica struct {
 	Upstream event.Upstream
-	// Gone reports whether the platform no longer lists the replica, or another one has its name. An unlisted replica is
+	// Unlisted reports whether the platform no longer lists the replica, or another one has its name. An unlisted replica is
 	// kept while attempts are in flight there, and for goneRetention, so that a stale list does not restore one that was
 	// leaving.
-	Gone bool
+	Unlisted bool
 	// goneAt is when the platform was first seen not to list the replica.
 	goneAt time.Time
 	// Running is the number of attempts that this instance has in flight at the replica.
@@ -202,5 +202,5 @@
 
 // live reports whether the replica is listed and not leaving, so that it may be sent new requests.
 func (rep *Replica) live() bool {
-	return !rep.Gone && !rep.Upstream.Leaving
+	return !rep.Unlisted && !rep.Upstream.Leaving
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -54,7 +54,7 @@
 		FailureDomain:    failureDomain,
 		Replicas:         map[string]*Replica{},
 		Services:         map[string][]*Replica{},
-		Policy:           Sail{},
+		Policy:           LowestCost{},
 		pools:            map[string]*pool{},
 		instances:        1,
 		prefixes:         newPrefixIndex(),
@@ -63,8 +63,8 @@
 	}
 }
 
-// Want holds the properties of a request that routing uses.
-type Want struct {
+// PickCriteria holds the properties of a request that routing uses.
+type PickCriteria struct {
 	ID      event.RequestID
 	Service string
 	// Model is the model that the caller named, empty for plain services.
@@ -75,8 +75,8 @@
 	Answer int64
 	// Level is the rank of the request's priority among those of the declared classes, from 0 for the lowest.
 	Level int
-	// Above is the number of higher priorities among those of the declared classes.
-	Above int
+	// HigherClasses is the number of higher priorities among those of the declared classes.
+	HigherClasses int
 	// Queued reports whether the request found no replica when it arrived.
 	Queued bool
 	// Repeatable reports whether the request may be sent again after a failure. Only such a request is used to probe a
@@ -90,10 +90,10 @@
 }
 
 // Tokens returns the memory that the request needs, in tokens.
-func (want *Want) Tokens() int64 { return want.Prompt + want.Answer }
+func (want *PickCriteria) Tokens() int64 { return want.Prompt + want.Answer }
 
-// List applies the platform's list of upstreams.
-func (st *State) List(now time.Time, listed event.UpstreamsListed) {
+// ApplyList applies the platform's list of upstreams.
+func (st *State) ApplyList(now time.Time, listed event.UpstreamsListed) {
 	st.now = now
 	changed := st.updateListed(listed)
 	changed = st.dropUnlisted(listed) || changed
@@ -107,7 +107,7 @@
 	changed := false
 	for _, up := range listed.Upstreams {
 		rep, ok := st.Replicas[up.Name]
-		if ok && rep.Upstream == up && !rep.Gone {
+		if ok && rep.Upstream == up && !rep.Unlisted {
 			continue
 		}
 		if !ok || rep.Upstream.Address != up.Address || rep.Upstream.Service != up.Service || rep.Upstream.FailureDomain != up.FailureDomain {
@@ -117,9 +117,9 @@
 		// Leaving is final for a name and address. Otherwise a list that is older than a peer's message would restore the
 		// replica.
 		up.Leaving = up.Leaving || rep.Upstream.Leaving
-		changed = changed || rep.Gone || rep.Upstream != up || !ok
+		changed = changed || rep.Unlisted || rep.Upstream != up || !ok
 		rep.Upstream = up
-		rep.Gone = false
+		rep.Unlisted = false
 		st.updateOpenSet(rep)
 	}
 	return changed
@@ -137,12 +137,12 @@
 	if rep == nil {
 		return
 	}
-	rep.Gone = true
+	rep.Unlisted = true
 	st.updateOpenSet(rep)
 }
 
-// Leave marks the replica as leaving after a peer has said so, ahead of the platform's list.
-func (st *State) Leave(rep *Replica) {
+// MarkLeaving marks the replica as leaving after a peer has said so, ahead of the platform's list.
+func (st *State) MarkLeaving(rep *Replica) {
 	rep.Upstream.Leaving = true
 	st.updateOpenSet(rep)
 }
@@ -162,7 +162,7 @@
 		if named[name] {
 			continue
 		}
-		if !rep.Gone {
+		if !rep.Unlisted {
 			changed = true
 			rep.goneAt = st.now
 			st.retire(rep)
@@ -190,7 +190,7 @@
 			rep.pool.liveReplicas++
 		}
 	}
-	st.unhealthy = slices.DeleteFunc(st.unhealthy, func(rep *Replica) bool { return rep.Gone })
+	st.unhealthy = slices.DeleteFunc(st.unhealthy, func(rep *Replica) bool { return rep.Unlisted })
 }
 
 // Report applies an upstream's load report. The load in it is ignored unless it is newer than the previous one.
@@ -217,8 +217,8 @@
 	return ok && pl.liveReplicas > 0
 }
 
-// Sent records an attempt that is sent to the replica.
-func (st *State) Sent(now time.Time, name string, want *Want) {
+// RecordSent records an attempt that is sent to the replica.
+func (st *State) RecordSent(now time.Time, name string, want *PickCriteria) {
 	st.now = now
 	rep, ok := st.Replicas[name]
 	if !ok {
@@ -239,7 +239,7 @@
 		level:            want.Level,
 		workToFirstToken: before + prompt,
 	})
-	if want.Above > 0 && rep.pool.instances() > 1 {
+	if want.HigherClasses > 0 && rep.pool.instances() > 1 {
 		rep.sendAllowed = false
 	}
 	rep.pool.recordSent(want.Level, prompt)
@@ -247,8 +247,8 @@
 	st.updateOpenSet(rep)
 }
 
-// Answering records the arrival of the first token of an attempt's answer.
-func (st *State) Answering(now time.Time, name string, id event.RequestID) {
+// RecordFirstToken records the arrival of the first token of an attempt's answer.
+func (st *State) RecordFirstToken(now time.Time, name string, id event.RequestID) {
 	rep, ok := st.Replicas[name]
 	if !ok {
 		return
@@ -261,9 +261,9 @@
 	rep.learnPrefillRate(rep.attempts[i])
 }
 
-// Ended records the end of an attempt whose answer has the given number of tokens. It reports whether the upstream was
+// RecordEnd records the end of an attempt whose answer has the given number of tokens. It reports whether the upstream was
 // ejected for it.
-func (st *State) Ended(now time.Time, name string, id event.RequestID, tokens int64, result event.Result) bool {
+func (st *State) RecordEnd(now time.Time, name string, id event.RequestID, tokens int64, result event.Result) bool {
 	st.now = now
 	rep, ok := st.Replicas[name]
 	if !ok {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -22,8 +22,8 @@
 	return &decl.Config{Version: 1, Services: map[string]decl.Service{"lyric": svc}}
 }
 
-func want(id int, prompt int64) *route.Want {
-	return &route.Want{ID: event.RequestID(id), Service: "lyric", Prompt: prompt, Repeatable: true, Level: 4}
+func want(id int, prompt int64) *route.PickCriteria {
+	return &route.PickCriteria{ID: event.RequestID(id), Service: "lyric", Prompt: prompt, Repeatable: true, Level: 4}
 }
 
 func report(name string, when time.Time, load event.Load) event.LoadReported {
@@ -42,7 +42,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			st := newState(route.Sail{})
+			st := newState(route.LowestCost{})
 			st.Configure(config(decl.Service{}))
 			for _, near := range []string{"lyric-0", "lyric-1"} {
 				st.Report(start, report(near, start, event.Load{QueuedTokens: tc.queued}))
@@ -57,9 +57,9 @@
 	// A report that is 200 ms old shows an engine as idle to which this instance has since sent a long prompt. Without
 	// counting that prompt, the next requests would go there too, and each instance would send its requests to the engine
 	// that was idle a moment ago.
-	st := newState(route.Sail{})
+	st := newState(route.LowestCost{})
 	st.Configure(config(decl.Service{}))
-	st.Sent(at(0.1), "lyric-0", want(1, 60_000))
+	st.RecordSent(at(0.1), "lyric-0", want(1, 60_000))
 	for _, near := range []string{"lyric-0", "lyric-1"} {
 		st.Report(at(0.2), report(near, start, event.Load{}))
 	}
@@ -71,17 +71,17 @@
 func TestOwnWorkInReportCountsOnce(t *testing.T) {
 	// The engine's report shows 60,000 queued tokens, all of them sent by this instance. If the instance added its own count
 	// to them, it would avoid the engine for twice as long.
-	st := newState(route.Sail{})
+	st := newState(route.LowestCost{})
 	st.Configure(config(decl.Service{}))
-	st.Sent(start, "lyric-0", want(1, 60_000))
-	st.Sent(start, "lyric-1", want(2, 70_000))
+	st.RecordSent(start, "lyric-0", want(1, 60_000))
+	st.RecordSent(start, "lyric-1", want(2, 70_000))
 	st.Report(at(0.5), report("lyric-0", at(0.2), event.Load{QueuedTokens: 60_000, Running: 1}))
 	st.Report(at(0.5), report("lyric-1", at(0.2), event.Load{QueuedTokens: 70_000, Running: 1}))
 	low := want(3, 1000)
 	low.Level = 0
 	near := st.Pick(at(0.5), low)
 	assert.Assert(t, near.Upstream.FailureDomain == "b", "the replicas of the other failure domain are idle")
-	st.Answering(at(0.6), "lyric-0", 1)
+	st.RecordFirstToken(at(0.6), "lyric-0", 1)
 	st.Report(at(0.7), report("lyric-0", at(0.65), event.Load{Running: 1}))
 	for id := range 10 {
 		assert.Equal(t, st.Pick(at(0.7), want(10+id, 1000)).Upstream.Name, "lyric-0")
@@ -102,7 +102,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			st := newState(route.Sail{})
+			st := newState(route.LowestCost{})
 			st.Configure(config(decl.Service{}))
 			st.CacheChanged(start, event.CacheChanged{Upstream: "lyric-1", First: 1, Last: 1, Added: prefixes})
 			st.Report(start, report("lyric-1", start, event.Load{QueuedTokens: tc.busy}))
@@ -134,7 +134,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			st := newState(route.Sail{})
+			st := newState(route.LowestCost{})
 			st.Configure(config(decl.Service{}))
 			st.CacheChanged(start, event.CacheChanged{Upstream: "lyric-3", First: 1, Last: 1, Added: prefixes})
 			for _, ev := range tc.events {
@@ -164,13 +164,13 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			st := newState(route.Sail{})
+			st := newState(route.LowestCost{})
 			st.Configure(config(decl.Service{}))
 			for i := range 4 {
 				st.Report(start, report(fmt.Sprintf("lyric-%d", i), start, tc.load))
 			}
 			wanted := want(1, 60_000)
-			wanted.Above = tc.above
+			wanted.HigherClasses = tc.above
 			assert.Equal(t, st.Pick(start, wanted) != nil, tc.placed)
 		})
 	}
@@ -179,19 +179,19 @@
 func TestWindowFollowsTheEngine(t *testing.T) {
 	// Eight instances share a replica that runs 32 requests at once. Each starts with a window of twice its fair share. A
 	// refusal shrinks the window, and a report that shows room grows it again.
-	st := newState(route.Sail{})
+	st := newState(route.LowestCost{})
 	st.Configure(config(decl.Service{}))
 	st.SetInstances(8)
 	rep := st.Replicas["lyric-0"]
 	assert.Equal(t, rep.Window, 8.0)
 	for id := range 8 {
-		st.Sent(start, "lyric-0", want(id, 1000))
+		st.RecordSent(start, "lyric-0", want(id, 1000))
 	}
 	for id := range 4 {
-		st.Ended(start, "lyric-0", event.RequestID(id), 0, event.ResultNotRun)
+		st.RecordEnd(start, "lyric-0", event.RequestID(id), 0, event.ResultNotRun)
 	}
 	assert.Assert(t, rep.Window < 6 && rep.Window > 5, "one burst of refusals counts once: %g", rep.Window)
-	st.Sent(start, "lyric-0", want(20, 1000))
+	st.RecordSent(start, "lyric-0", want(20, 1000))
 	st.Report(at(1), report("lyric-0", at(1), event.Load{Running: 8}))
 	assert.Assert(t, rep.Window > 6, "%g", rep.Window)
 }
@@ -200,11 +200,11 @@
 	// One of four engines breaks off each request. It is ejected after three failures, and then sent one request at a time
 	// until it has answered three. The engines of the other failure domain are never ejected along with it, however they
 	// fail, since that would be more than a third of the pool.
-	st := newState(route.Sail{})
+	st := newState(route.LowestCost{})
 	st.Configure(config(decl.Service{}))
 	fail := func(when time.Time, name string, id int) bool {
-		st.Sent(when, name, want(id, 1000))
-		return st.Ended(when, name, event.RequestID(id), 0, event.ResultBroken)
+		st.RecordSent(when, name, want(id, 1000))
+		return st.RecordEnd(when, name, event.RequestID(id), 0, event.ResultBroken)
 	}
 	assert.Assert(t, !fail(start, "lyric-0", 1))
 	assert.Assert(t, !fail(start, "lyric-0", 2))
@@ -218,11 +218,11 @@
 	st.Tick(at(3))
 	rep := st.Replicas["lyric-0"]
 	for probe := range 3 {
-		st.Sent(at(3), "lyric-0", want(100+probe, 1000))
+		st.RecordSent(at(3), "lyric-0", want(100+probe, 1000))
 		for id := range 20 {
 			assert.Assert(t, st.Pick(at(3), want(id, 1000)).Upstream.Name != "lyric-0", "one probe at a time")
 		}
-		st.Ended(at(3.1), "lyric-0", event.RequestID(100+probe), 10, event.ResultDone)
+		st.RecordEnd(at(3.1), "lyric-0", event.RequestID(100+probe), 10, event.ResultDone)
 	}
 	assert.Assert(t, !rep.Probing)
 }
@@ -231,13 +231,13 @@
 	// Each engine has many streams in flight. Some break and get it ejected; the others complete or break during the
 	// ejection. If the complete ones ended its probation, one engine after another would be ejected until none is left. If
 	// the broken ones counted as failures, the first ejection would last a minute.
-	st := newState(route.Sail{})
+	st := newState(route.LowestCost{})
 	st.Configure(config(decl.Service{}))
 	id := 0
 	for _, name := range []string{"lyric-0", "lyric-1", "lyric-2", "lyric-3"} {
 		first := id
 		for range 20 {
-			st.Sent(start, name, want(id, 1000))
+			st.RecordSent(start, name, want(id, 1000))
 			id++
 		}
 		for i := range 20 {
@@ -245,7 +245,7 @@
 			if i >= 3 && i%2 == 0 {
 				result = event.ResultDone
 			}
-			st.Ended(start, name, event.RequestID(first+i), 5, result)
+			st.RecordEnd(start, name, event.RequestID(first+i), 5, result)
 		}
 	}
 	assert.Assert(t, st.Pick(start, want(id, 1000)) != nil)
@@ -262,7 +262,7 @@
 }
 
 func TestSlowReplicaIsEjected(t *testing.T) {
-	st := newState(route.Sail{})
+	st := newState(route.LowestCost{})
 	st.Configure(config(decl.Service{}))
 	for id := range 60 {
 		name := fmt.Sprintf("lyric-%d", id%4)
@@ -270,9 +270,9 @@
 		if name == "lyric-2" {
 			took = 2
 		}
-		st.Sent(start, name, want(id, 2000))
-		st.Answering(at(took), name, event.RequestID(id))
-		st.Ended(at(took+0.1), name, event.RequestID(id), 5, event.ResultDone)
+		st.RecordSent(start, name, want(id, 2000))
+		st.RecordFirstToken(at(took), name, event.RequestID(id))
+		st.RecordEnd(at(took+0.1), name, event.RequestID(id), 5, event.ResultDone)
 	}
 	assert.DeepEqual(t, st.Tick(at(5)), []string{"lyric-2"})
 }
@@ -286,12 +286,12 @@
 	leaving := up
 	leaving.Leaving = true
 	for _, listed := range [][]event.Upstream{{up, other}, {leaving, other}, {other}, {up, other}} {
-		st.List(start, event.UpstreamsListed{Upstreams: listed})
+		st.ApplyList(start, event.UpstreamsListed{Upstreams: listed})
 	}
 	assert.Assert(t, st.Pick(start, want(1, 1000)) == nil)
 	assert.Assert(t, !st.Serves("lyric"))
 	up.Address = "127.0.0.1:3"
-	st.List(start, event.UpstreamsListed{Upstreams: []event.Upstream{up, other}})
+	st.ApplyList(start, event.UpstreamsListed{Upstreams: []event.Upstream{up, other}})
 	assert.Equal(t, st.Pick(start, want(1, 1000)).Upstream.Address, "127.0.0.1:3", "another process of the same name")
 }
 
@@ -299,7 +299,7 @@
 // replica, that no count is ever negative, and that a leaving replica is never picked.
 func TestCountsAreConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		st := newState(route.Sail{})
+		st := newState(route.LowestCost{})
 		st.Configure(config(decl.Service{MaxRunning: 4}))
 		now := start
 		next := 0
@@ -318,19 +318,19 @@
 			"send": func(t *rapid.T) {
 				next++
 				wanted := want(next, rapid.Int64Range(0, 200_000).Draw(t, "prompt"))
-				wanted.Above = rapid.IntRange(0, 4).Draw(t, "above")
-				wanted.Level = 4 - wanted.Above
+				wanted.HigherClasses = rapid.IntRange(0, 4).Draw(t, "above")
+				wanted.Level = 4 - wanted.HigherClasses
 				wanted.Prefixes = []uint64{uint64(next % 3), uint64(next%3 + 10)}
 				if rep := st.Pick(now, wanted); rep != nil {
 					assert.Assert(t, !left[rep.Upstream.Name])
 					assert.Assert(t, float64(rep.Running) < rep.Window)
-					st.Sent(now, rep.Upstream.Name, wanted)
+					st.RecordSent(now, rep.Upstream.Name, wanted)
 					running[next] = rep.Upstream.Name
 				}
 			},
 			"answering": func(t *rapid.T) {
 				if id, name := draw(t); id > 0 {
-					st.Answering(now, name, event.RequestID(id))
+					st.RecordFirstToken(now, name, event.RequestID(id))
 				}
 			},
 			"end": func(t *rapid.T) {
@@ -339,8 +339,8 @@
 					return
 				}
 				result := event.Result(rapid.IntRange(int(event.ResultDone), int(event.ResultCancelled)).Draw(t, "result"))
-				st.Ended(now, name, event.RequestID(id), rapid.Int64Range(0, 100).Draw(t, "tokens"), result)
-				st.Ended(now, name, event.RequestID(id), 0, result)
+				st.RecordEnd(now, name, event.RequestID(id), rapid.Int64Range(0, 100).Draw(t, "tokens"), result)
+				st.RecordEnd(now, name, event.RequestID(id), 0, result)
 				delete(running, id)
 			},
 			"report": func(t *rapid.T) {
@@ -358,7 +358,7 @@
 					up.Leaving = other == name || rapid.Bool().Draw(t, "late list") && left[other]
 					listed.Upstreams = append(listed.Upstreams, up)
 				}
-				st.List(now, listed)
+				st.ApplyList(now, listed)
 			},
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
@@ -371,7 +371,7 @@
 			},
 		})
 		for id, name := range running {
-			st.Ended(now, name, event.RequestID(id), 0, event.ResultCancelled)
+			st.RecordEnd(now, name, event.RequestID(id), 0, event.ResultCancelled)
 		}
 		for _, rep := range st.Replicas {
 			assert.Equal(t, rep.Running, int64(0))
@@ -385,7 +385,7 @@
 func TestRetryPicksEarliestFailedReplica(t *testing.T) {
 	// All replicas have failed a request, the last one because it died. If the retry went back to that one, it would use up
 	// the retry budget there. It goes to the replica whose failure is the earliest.
-	st := newState(route.Sail{})
+	st := newState(route.LowestCost{})
 	st.Configure(config(decl.Service{}))
 	wanted := want(1, 1000)
 	wanted.Tried = []string{"lyric-1", "lyric-0", "lyric-3", "lyric-2", "lyric-0"}
@@ -396,12 +396,12 @@
 	// Both engines of a failure domain go silent. If only one of them were ejected, requests sent to the other would wait
 	// until its silence is noticed. Both are ejected, although they are half of the pool. The engines of the other domain
 	// are not ejected while these are.
-	st := newState(route.Sail{})
+	st := newState(route.LowestCost{})
 	st.Configure(config(decl.Service{}))
 	for id := range 12 {
 		name := fmt.Sprintf("lyric-%d", id%4)
-		st.Sent(start, name, want(id, 1000))
-		st.Ended(start, name, event.RequestID(id), 0, event.ResultSilent)
+		st.RecordSent(start, name, want(id, 1000))
+		st.RecordEnd(start, name, event.RequestID(id), 0, event.ResultSilent)
 	}
 	for id := range 20 {
 		assert.Equal(t, st.Pick(start, want(20+id, 1000)).Upstream.FailureDomain, "b")
--- a/internal/slope/permits.go
+++ b/internal/slope/permits.go
@@ -53,13 +53,13 @@
 	co := permit.New("entry-0")
 	co.Engines = func(permit.Pool) []permit.Engine { return engines }
 	co.Upstream = func(string) (event.Upstream, bool) { return event.Upstream{}, false }
-	co.Gone = func(string, uint64) bool { return false }
-	co.Listed = func(string) bool { return true }
+	co.HolderGone = func(string, uint64) bool { return false }
+	co.HolderListed = func(string) bool { return true }
 	return co
 }
 
-func permitAsk(request string, tokens int64) event.PermitAsked {
-	return event.PermitAsked{
+func permitAsk(request string, tokens int64) event.PermitRequested {
+	return event.PermitRequested{
 		Holder: "entry-012", Incarnation: 1 << 50, Peer: "10.0.0.1:8081", Request: request, Service: "lyric",
 		FailureDomain: "a", Organisation: "organisation-0001", Weight: 1, Tokens: tokens, Class: "Long", Wait: 1000 * time.Hour,
 	}
@@ -95,10 +95,10 @@
 func permitBytes() (float64, error) {
 	request := "entry-012.5f3k2a9c1d-3f"
 	once := []wire.Message{
-		wire.PermitAsk(permitAsk(request, 1_000_000)),
+		wire.PermitRequest(permitAsk(request, 1_000_000)),
 		wire.PermitGrant{
 			From: "entry-012", Request: request, Service: "lyric", FailureDomain: "south-a", Granted: true,
-			Upstreams: []string{"lyric-assist-0123", "lyric-assist-0124"}, Lasts: permit.Lasts,
+			Upstreams: []string{"lyric-assist-0123", "lyric-assist-0124"}, Lasts: permit.ReservationTTL,
 		},
 		wire.PermitReturn{Request: request, Service: "lyric", FailureDomain: "south-a"},
 	}
@@ -107,7 +107,7 @@
 			Holder: "entry-012", Incarnation: 1 << 50, Peer: "10.0.0.1:8081", Service: "lyric", FailureDomain: "south-a",
 			Requests: []string{request},
 		},
-		wire.PermitState{From: "entry-012"},
+		wire.PermitStatus{From: "entry-012"},
 	}
 	first, err := encodedLength(once)
 	if err != nil {
--- a/internal/slope/state.go
+++ b/internal/slope/state.go
@@ -178,7 +178,7 @@
 		ev.Deadline = now.Add(time.Minute)
 		st.Reduce(now, ev)
 		name := st.Requests[id].Upstreams[0].Name
-		st.Reduce(now, event.Answering{ID: id, Attempt: 1})
+		st.Reduce(now, event.AnswerStarted{ID: id, Attempt: 1})
 		st.Reduce(now, event.AttemptEnded{ID: id, Attempt: 1, Upstream: name, Result: event.ResultDone})
 	})
 }
--- a/internal/stand/engine.go
+++ b/internal/stand/engine.go
@@ -203,7 +203,7 @@
 }
 
 func refuse(w http.ResponseWriter, status int, message string) {
-	w.Header().Set(upstr.HeaderRun, upstr.RunStateNotRun)
+	w.Header().Set(upstr.HeaderRunState, upstr.RunStateNotRun)
 	w.Header().Set("Retry-After", "0.1")
 	http.Error(w, message, status)
 }
--- a/internal/stand/kv.go
+++ b/internal/stand/kv.go
@@ -181,8 +181,8 @@
 	_ = json.NewEncoder(w).Encode(status)
 }
 
-func (kv *KV) readRange(req store.RangeRequest) (store.RangeAnswer, *store.Status) {
-	answer := store.RangeAnswer{Header: store.Header{Revision: kv.revision}}
+func (kv *KV) readRange(req store.RangeRequest) (store.RangeResponse, *store.Status) {
+	answer := store.RangeResponse{Header: store.Header{Revision: kv.revision}}
 	if len(req.RangeEnd) == 0 {
 		if pair, ok := kv.pairs[string(req.Key)]; ok {
 			answer.Kvs = append(answer.Kvs, pair)
@@ -205,13 +205,13 @@
 	return bytes.Compare(key, from) >= 0 && bytes.Compare(key, end) < 0
 }
 
-func (kv *KV) txn(req store.TxnRequest) (store.TxnAnswer, *store.Status) {
+func (kv *KV) txn(req store.TxnRequest) (store.TxnResponse, *store.Status) {
 	if status := kv.admissible(req); status != nil {
-		return store.TxnAnswer{}, status
+		return store.TxnResponse{}, status
 	}
 	for _, cmp := range req.Compare {
 		if kv.pairs[string(cmp.Key)].ModRevision != cmp.ModRevision {
-			return store.TxnAnswer{Header: store.Header{Revision: kv.revision}}, nil
+			return store.TxnResponse{Header: store.Header{Revision: kv.revision}}, nil
 		}
 	}
 	for _, op := range req.Success {
@@ -223,7 +223,7 @@
 			kv.remove(string(op.Delete.Key))
 		}
 	}
-	return store.TxnAnswer{Header: store.Header{Revision: kv.revision}, Succeeded: true}, nil
+	return store.TxnResponse{Header: store.Header{Revision: kv.revision}, Succeeded: true}, nil
 }
 
 // admissible refuses a transaction whole if one of its writes cannot be done.
@@ -242,20 +242,20 @@
 	return nil
 }
 
-func (kv *KV) grant(req store.LeaseRequest) (store.LeaseAnswer, *store.Status) {
+func (kv *KV) grant(req store.LeaseRequest) (store.LeaseResponse, *store.Status) {
 	kv.nextID++
 	ttl := time.Duration(req.TTL) * time.Second
 	kv.leases[kv.nextID] = &kvLease{ttl: ttl, ends: time.Now().Add(ttl)}
-	return store.LeaseAnswer{ID: kv.nextID, TTL: req.TTL}, nil
+	return store.LeaseResponse{ID: kv.nextID, TTL: req.TTL}, nil
 }
 
-func (kv *KV) renew(req store.LeaseRequest) (store.KeepAliveAnswer, *store.Status) {
+func (kv *KV) renew(req store.LeaseRequest) (store.KeepAliveResponse, *store.Status) {
 	lease, ok := kv.leases[req.ID]
 	if !ok {
-		return store.KeepAliveAnswer{Result: store.LeaseAnswer{ID: req.ID}}, nil
+		return store.KeepAliveResponse{Result: store.LeaseResponse{ID: req.ID}}, nil
 	}
 	lease.ends = time.Now().Add(lease.ttl)
-	return store.KeepAliveAnswer{Result: store.LeaseAnswer{ID: req.ID, TTL: int64(lease.ttl / time.Second)}}, nil
+	return store.KeepAliveResponse{Result: store.LeaseResponse{ID: req.ID, TTL: int64(lease.ttl / time.Second)}}, nil
 }
 
 func (kv *KV) revoke(req store.LeaseRequest) (struct{}, *store.Status) {
@@ -329,7 +329,7 @@
 }
 
 func send(w http.ResponseWriter, result store.WatchResult) bool {
-	if json.NewEncoder(w).Encode(store.WatchAnswer{Result: result}) != nil {
+	if json.NewEncoder(w).Encode(store.WatchResponse{Result: result}) != nil {
 		return false
 	}
 	return http.NewResponseController(w).Flush() == nil
--- a/internal/stand/memory.go
+++ b/internal/stand/memory.go
@@ -89,7 +89,7 @@
 	return err
 }
 
-func (mm *Memory) txn(ctx context.Context, key string, revision int64, op store.Op) (store.TxnAnswer, error) {
+func (mm *Memory) txn(ctx context.Context, key string, revision int64, op store.Op) (store.TxnResponse, error) {
 	request := store.TxnRequest{
 		Compare: []store.Compare{{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRevision: revision}},
 		Success: []store.Op{op},
--- a/internal/store/etcd.go
+++ b/internal/store/etcd.go
@@ -60,7 +60,7 @@
 
 // Get implements Store.
 func (cl *Client) Get(ctx context.Context, key string) (Pair, error) {
-	var answer RangeAnswer
+	var answer RangeResponse
 	if err := cl.call(ctx, "/v3/kv/range", RangeRequest{Key: []byte(key)}, &answer); err != nil {
 		return Pair{}, err
 	}
@@ -74,7 +74,7 @@
 func (cl *Client) List(ctx context.Context, prefix, from string, limit int) ([]Pair, error) {
 	start := max(prefix, from)
 	request := RangeRequest{Key: []byte(start), RangeEnd: RangeEnd(prefix), Limit: int64(limit)}
-	var answer RangeAnswer
+	var answer RangeResponse
 	if err := cl.call(ctx, "/v3/kv/range", request, &answer); err != nil {
 		return nil, err
 	}
@@ -107,7 +107,7 @@
 		Compare: []Compare{revisionEquals(key, revision)},
 		Success: []Op{{Put: &PutRequest{Key: []byte(key), Value: value, Lease: int64(lease)}}},
 	}
-	var answer TxnAnswer
+	var answer TxnResponse
 	if err := cl.call(ctx, "/v3/kv/txn", request, &answer); err != nil {
 		return Pair{}, err
 	}
@@ -127,7 +127,7 @@
 		Compare: []Compare{revisionEquals(key, revision)},
 		Success: []Op{{Delete: &DeleteRequest{Key: []byte(key)}}},
 	}
-	var answer TxnAnswer
+	var answer TxnResponse
 	if err := cl.call(ctx, "/v3/kv/txn", request, &answer); err != nil {
 		return err
 	}
@@ -140,14 +140,14 @@
 // Grant implements Store.
 func (cl *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
-	var answer LeaseAnswer
+	var answer LeaseResponse
 	err := cl.call(ctx, "/v3/lease/grant", LeaseRequest{TTL: seconds}, &answer)
 	return LeaseID(answer.ID), err
 }
 
 // Renew implements Store.
 func (cl *Client) Renew(ctx context.Context, lease LeaseID) error {
-	var answer KeepAliveAnswer
+	var answer KeepAliveResponse
 	if err := cl.call(ctx, "/v3/lease/keepalive", LeaseRequest{ID: int64(lease)}, &answer); err != nil {
 		return err
 	}
@@ -175,7 +175,7 @@
 	}
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, maxWatchLineBytes)
-	var created WatchAnswer
+	var created WatchResponse
 	ok := lines.Scan() && json.Unmarshal(lines.Bytes(), &created) == nil && created.Result.Created && !created.Result.Canceled
 	if !ok || !openTimer.Stop() {
 		cancel()
@@ -195,7 +195,7 @@
 	defer close(changes)
 	defer func() { _ = body.Close() }()
 	for lines.Scan() {
-		var answer WatchAnswer
+		var answer WatchResponse
 		if json.Unmarshal(lines.Bytes(), &answer) != nil || answer.Result.Canceled {
 			return
 		}
--- a/internal/store/wire.go
+++ b/internal/store/wire.go
@@ -27,8 +27,8 @@
 	Limit    int64  `json:"limit,string,omitempty"`
 }
 
-// RangeAnswer is the response to a RangeRequest.
-type RangeAnswer struct {
+// RangeResponse is the response to a RangeRequest.
+type RangeResponse struct {
 	Header Header     `json:"header"`
 	Kvs    []KeyValue `json:"kvs"`
 }
@@ -65,8 +65,8 @@
 	Success []Op      `json:"success"`
 }
 
-// TxnAnswer is the response to a TxnRequest; Succeeded reports whether the operations ran.
-type TxnAnswer struct {
+// TxnResponse is the response to a TxnRequest; Succeeded reports whether the operations ran.
+type TxnResponse struct {
 	Header    Header `json:"header"`
 	Succeeded bool   `json:"succeeded"`
 }
@@ -78,16 +78,16 @@
 	TTL int64 `json:"TTL,string,omitempty"`
 }
 
-// LeaseAnswer is the response to a LeaseRequest.
-type LeaseAnswer struct {
+// LeaseResponse is the response to a LeaseRequest.
+type LeaseResponse struct {
 	ID int64 `json:"ID,string"`
 	// TTL is the remaining time to live in seconds. It is not positive if the lease no longer exists.
 	TTL int64 `json:"TTL,string"`
 }
 
-// KeepAliveAnswer is the response to a renewal.
-type KeepAliveAnswer struct {
-	Result LeaseAnswer `json:"result"`
+// KeepAliveResponse is the response to a renewal.
+type KeepAliveResponse struct {
+	Result LeaseResponse `json:"result"`
 }
 
 // WatchRequest opens a watch.
@@ -120,8 +120,8 @@
 	Events   []WatchEvent `json:"events,omitempty"`
 }
 
-// WatchAnswer is one message of the response stream of a watch.
-type WatchAnswer struct {
+// WatchResponse is one message of the response stream of a watch.
+type WatchResponse struct {
 	Result WatchResult `json:"result"`
 }
 
--- a/internal/upstr/client.go
+++ b/internal/upstr/client.go
@@ -70,7 +70,7 @@
 	// http.Transport retries a request on its own when a reused connection breaks and the request has no body or
 	// carries an idempotency key. The request would then run twice. It never retries on a connection that was not used
 	// before, so calls that must not be repeated ask for a new one.
-	if call.Fresh {
+	if call.NewConnection {
 		return cl.fresh
 	}
 	cl.mu.Lock()
@@ -214,7 +214,7 @@
 
 func statusError(address string, resp *http.Response) error {
 	kind := Failed
-	if resp.Header.Get(HeaderRun) == RunStateNotRun {
+	if resp.Header.Get(HeaderRunState) == RunStateNotRun {
 		kind = NotRun
 	}
 	err := kind.New("upstr: %s answered %s", address, resp.Status)
@@ -261,7 +261,7 @@
 // Drop implements Engine.
 func (cl *Client) Drop(ctx context.Context, address, request string) error {
 	path := "/v1/requests/" + url.PathEscape(request)
-	return cl.exchange(ctx, Call{Address: address, Method: http.MethodDelete, Path: path, Fresh: true}, 0, nil)
+	return cl.exchange(ctx, Call{Address: address, Method: http.MethodDelete, Path: path, NewConnection: true}, 0, nil)
 }
 
 // Load implements Engine.
@@ -293,7 +293,7 @@
 		Body:    bytes.NewReader(raw),
 		Length:  int64(len(raw)),
 		// A repeat by the transport would deliver the order late.
-		Fresh: true,
+		NewConnection: true,
 	}
 	return cl.exchange(ctx, call, 0, nil)
 }
--- a/internal/upstr/upstr.go
+++ b/internal/upstr/upstr.go
@@ -27,8 +27,8 @@
 	HeaderSegment = "X-Segment"
 	// HeaderReservation identifies the memory reservation that covers the request.
 	HeaderReservation = "X-Reservation"
-	// HeaderRun is set by an upstream that rejects a request: RunStateNotRun if it ran nothing of it.
-	HeaderRun = "X-Run-State"
+	// HeaderRunState is set by an upstream that rejects a request: RunStateNotRun if it ran nothing of it.
+	HeaderRunState = "X-Run-State"
 	// HeaderKey is the caller's idempotency key.
 	HeaderKey = "Idempotency-Key"
 	// HeaderFence is the fencing number of an order.
@@ -84,8 +84,8 @@
 	Reservation string
 	// Imports is sent to engines as HeaderImports unless empty.
 	Imports []string
-	// Fresh asks for a new connection that is not reused afterwards.
-	Fresh bool
+	// NewConnection asks for a new connection that is not reused afterwards.
+	NewConnection bool
 	// Connected, unless nil, is called once the call has its connection; reused reports whether earlier calls used it.
 	Connected func(reused bool)
 	// Heartbeat, unless nil, is called for each comment in a stream, which an engine sends to show that it is still
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -7,25 +7,25 @@
 func Event(msg Message) (event.Event, bool) {
 	switch msg := msg.(type) {
 	case Demand:
-		return event.DemandHeard{From: msg.From, Demands: msg.Demands}, true
+		return event.DemandReceived{From: msg.From, Demands: msg.Demands}, true
 	case Shares:
-		return event.SharesHeard{Shares: msg.Shares}, true
-	case PermitAsk:
-		return event.PermitAsked(msg), true
+		return event.SharesReceived{Shares: msg.Shares}, true
+	case PermitRequest:
+		return event.PermitRequested(msg), true
 	case PermitGrant:
-		return event.PermitGranted(msg), true
+		return event.PermitDecided(msg), true
 	case PermitReturn:
 		return event.PermitReturned(msg), true
 	case PermitRenew:
 		return event.PermitRenewed(msg), true
-	case PermitState:
-		return event.PermitsKnown(msg), true
+	case PermitStatus:
+		return event.PermitStatusReceived(msg), true
 	case Probe:
-		return event.Probed(msg), true
+		return event.ProbeReceived(msg), true
 	case ProbeAck:
 		return event.ProbeAcked(msg), true
 	case Gossip:
-		return event.Gossiped(msg), true
+		return event.GossipReceived(msg), true
 	}
 	return nil, false
 }
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -12,24 +12,24 @@
 
 // messages returns one message of each type except ConfigNews, ClaimAsk, ClaimAnswer and ClaimSettle.
 func messages() []wire.Message {
-	words := []event.Word{{Name: "entry-1", State: event.WordSuspect, Incarnation: 7}}
+	words := []event.StatusUpdate{{Name: "entry-1", State: event.StatusSuspect, Incarnation: 7}}
 	return []wire.Message{
 		wire.Ack{},
-		wire.PermitAsk{Holder: "entry-1", Peer: "10.0.0.1:8081", Request: "r~1", Tokens: 1000, Wait: time.Minute},
+		wire.PermitRequest{Holder: "entry-1", Peer: "10.0.0.1:8081", Request: "r~1", Tokens: 1000, Wait: time.Minute},
 		wire.PermitGrant{From: "entry-0", Request: "r~1", Granted: true, Upstreams: []string{"lyric-0", "lyric-1"}},
 		wire.PermitReturn{Request: "r~1", Service: "lyric", FailureDomain: "a"},
 		wire.PermitRenew{Holder: "entry-1", Requests: []string{"r~1"}},
-		wire.PermitState{From: "entry-0", Unknown: []string{"r~1"}},
+		wire.PermitStatus{From: "entry-0", Unknown: []string{"r~1"}},
 		wire.Quarantine{Deaths: 2, Lasts: time.Hour},
-		wire.QuarantineWant{From: "10.0.0.1:7400"},
-		wire.Quarantines{Entries: []wire.Quarantine{{Deaths: 1}}},
-		wire.ConfigWant{After: 3},
+		wire.QuarantineRequest{From: "10.0.0.1:7400"},
+		wire.QuarantineList{Entries: []wire.Quarantine{{Deaths: 1}}},
+		wire.ConfigRequest{After: 3},
 		wire.ConfigPatches{First: 4, Patches: [][]byte{[]byte("[]")}},
 		wire.Probe{From: "entry-1", Peer: "10.0.0.1:8081", Seq: 9, Words: words},
 		wire.ProbeAck{From: "entry-2", Seq: 9, Words: words},
 		wire.Gossip{From: "entry-1", Words: words},
-		wire.Demand{From: "entry-1", Demands: []event.Demand{{Organisation: "parish", Part: 0.5}}},
-		wire.Shares{Shares: []event.Share{{Organisation: "parish", Part: 0.5}}},
+		wire.Demand{From: "entry-1", Demands: []event.Demand{{Organisation: "parish", Fraction: 0.5}}},
+		wire.Shares{Shares: []event.Share{{Organisation: "parish", Fraction: 0.5}}},
 	}
 }
 
--- a/internal/wire/member.go
+++ b/internal/wire/member.go
@@ -6,11 +6,11 @@
 // copying fields.
 type (
 	// Probe asks for a ProbeAck.
-	Probe event.Probed
+	Probe event.ProbeReceived
 	// ProbeAck answers a Probe.
 	ProbeAck event.ProbeAcked
 	// Gossip carries membership updates that cannot wait for the next probe.
-	Gossip event.Gossiped
+	Gossip event.GossipReceived
 )
 
 func (Probe) isMessage()    {}
--- a/internal/wire/permit.go
+++ b/internal/wire/permit.go
@@ -4,20 +4,20 @@
 
 // Messages about permits. Each has the fields of an event type, so that one converts to the other without copying fields.
 type (
-	// PermitAsk asks a pool's coordinator for a reservation, or reports an existing reservation to a new coordinator.
-	PermitAsk event.PermitAsked
+	// PermitRequest asks a pool's coordinator for a reservation, or reports an existing reservation to a new coordinator.
+	PermitRequest event.PermitRequested
 	// PermitGrant answers a PermitAsk, at once or later.
-	PermitGrant event.PermitGranted
+	PermitGrant event.PermitDecided
 	// PermitReturn releases a reservation or a place in the queue.
 	PermitReturn event.PermitReturned
 	// PermitRenew renews reservations and places in the queue.
 	PermitRenew event.PermitRenewed
-	// PermitState answers a PermitRenew.
-	PermitState event.PermitsKnown
+	// PermitStatus answers a PermitRenew.
+	PermitStatus event.PermitStatusReceived
 )
 
-func (PermitAsk) isMessage()    {}
-func (PermitGrant) isMessage()  {}
-func (PermitReturn) isMessage() {}
-func (PermitRenew) isMessage()  {}
-func (PermitState) isMessage()  {}
+func (PermitRequest) isMessage() {}
+func (PermitGrant) isMessage()   {}
+func (PermitReturn) isMessage()  {}
+func (PermitRenew) isMessage()   {}
+func (PermitStatus) isMessage()  {}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -16,14 +16,14 @@
 // Ack acknowledges a message that needs no other answer.
 type Ack struct{}
 
-// QuarantineWant asks for all digests under suspicion or quarantine, and to be sent those that are added later.
-type QuarantineWant struct {
+// QuarantineRequest asks for all digests under suspicion or quarantine, and to be sent those that are added later.
+type QuarantineRequest struct {
 	// From is the peer address of the instance that asks.
 	From string
 }
 
-// Quarantines answers a QuarantineWant.
-type Quarantines struct{ Entries []Quarantine }
+// QuarantineList answers a QuarantineWant.
+type QuarantineList struct{ Entries []Quarantine }
 
 // Quarantine reports that requests with the same content took upstreams down.
 type Quarantine struct {
@@ -35,8 +35,8 @@
 	Lasts time.Duration
 }
 
-// ConfigWant asks for the configuration patches after a version.
-type ConfigWant struct{ After int64 }
+// ConfigRequest asks for the configuration patches after a version.
+type ConfigRequest struct{ After int64 }
 
 // ConfigPatches answers a ConfigWant with the patches in order of their versions, or with a snapshot of the whole
 // configuration if the peer no longer holds all of the patches.
@@ -66,15 +66,15 @@
 func (Demand) isMessage() {}
 func (Shares) isMessage() {}
 
-// ConfigNews announces a configuration version. An instance that has a lower version asks the sender for the patches.
-type ConfigNews struct {
+// ConfigAnnouncement announces a configuration version. An instance that has a lower version asks the sender for the patches.
+type ConfigAnnouncement struct {
 	Version int64
 	// Teller is the peer address of the instance that sends the announcement and has the version.
 	Teller string
 }
 
-// ClaimAsk asks the instance that writes a shard to record a claim of an idempotency key.
-type ClaimAsk struct {
+// ClaimRequest asks the instance that writes a shard to record a claim of an idempotency key.
+type ClaimRequest struct {
 	Shard int
 	// Hash identifies the key within the shard.
 	Hash [16]byte
@@ -98,8 +98,8 @@
 	Truncated   bool
 }
 
-// ClaimAnswer answers a ClaimAsk or a ClaimSettle.
-type ClaimAnswer struct {
+// ClaimResponse answers a ClaimAsk or a ClaimSettle.
+type ClaimResponse struct {
 	// Result is an event.ClaimResult.
 	Result  int
 	Outcome ClaimOutcome
@@ -117,16 +117,16 @@
 	Wait time.Duration
 }
 
-func (Ack) isMessage()            {}
-func (Quarantine) isMessage()     {}
-func (QuarantineWant) isMessage() {}
-func (Quarantines) isMessage()    {}
-func (ConfigWant) isMessage()     {}
-func (ConfigPatches) isMessage()  {}
-func (ConfigNews) isMessage()     {}
-func (ClaimAsk) isMessage()       {}
-func (ClaimAnswer) isMessage()    {}
-func (ClaimSettle) isMessage()    {}
+func (Ack) isMessage()                {}
+func (Quarantine) isMessage()         {}
+func (QuarantineRequest) isMessage()  {}
+func (QuarantineList) isMessage()     {}
+func (ConfigRequest) isMessage()      {}
+func (ConfigPatches) isMessage()      {}
+func (ConfigAnnouncement) isMessage() {}
+func (ClaimRequest) isMessage()       {}
+func (ClaimResponse) isMessage()      {}
+func (ClaimSettle) isMessage()        {}
 
 // MaxMessage is the maximum length of an encoded message, in bytes.
 const MaxMessage = 4 << 20
@@ -141,17 +141,17 @@
 // decoders maps the number of each message type on the wire to its decoder. A number is never reused for another type.
 var decoders = map[uint64]func(raw []byte) (Message, error){
 	1:  decode[Ack],
-	2:  decode[PermitAsk],
+	2:  decode[PermitRequest],
 	3:  decode[PermitGrant],
 	4:  decode[PermitReturn],
 	5:  decode[Quarantine],
-	10: decode[QuarantineWant],
-	11: decode[Quarantines],
-	6:  decode[ConfigWant],
+	10: decode[QuarantineRequest],
+	11: decode[QuarantineList],
+	6:  decode[ConfigRequest],
 	7:  decode[ConfigPatches],
 
 	8: decode[PermitRenew],
-	9: decode[PermitState],
+	9: decode[PermitStatus],
 
 	20: decode[Probe],
 	21: decode[ProbeAck],
@@ -159,9 +159,9 @@
 
 	60: decode[Demand],
 	61: decode[Shares],
-	40: decode[ConfigNews],
-	41: decode[ClaimAsk],
-	42: decode[ClaimAnswer],
+	40: decode[ConfigAnnouncement],
+	41: decode[ClaimRequest],
+	42: decode[ClaimResponse],
 	43: decode[ClaimSettle],
 }
 
@@ -170,7 +170,7 @@
 	switch msg.(type) {
 	case Ack:
 		return 1
-	case PermitAsk:
+	case PermitRequest:
 		return 2
 	case PermitGrant:
 		return 3
@@ -178,19 +178,19 @@
 		return 4
 	case Quarantine:
 		return 5
-	case QuarantineWant:
+	case QuarantineRequest:
 		return 10
-	case Quarantines:
+	case QuarantineList:
 		return 11
-	case ConfigWant:
+	case ConfigRequest:
 		return 6
 	case ConfigPatches:
 		return 7
-	case ConfigNews:
+	case ConfigAnnouncement:
 		return 40
-	case ClaimAsk:
+	case ClaimRequest:
 		return 41
-	case ClaimAnswer:
+	case ClaimResponse:
 		return 42
 	case ClaimSettle:
 		return 43
@@ -198,7 +198,7 @@
 	switch msg.(type) {
 	case PermitRenew:
 		return 8
-	case PermitState:
+	case PermitStatus:
 		return 9
 	case Probe:
 		return 20
