--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -129,10 +129,10 @@
 	if err != nil {
 		return att.failureResult(ctx)
 	}
-	reply := att.in.protocol.ParseResponse(resp)
-	att.in.recordRateLimit(att.eff.Replica, sent, reply)
+	ri := att.in.protocol.ParseResponse(resp)
+	att.in.recordRateLimit(att.eff.Replica, sent, ri)
 	defer func() { _ = resp.Body.Close() }()
-	return att.receive(ctx, resp, reply)
+	return att.receive(ctx, resp, ri)
 }
 
 // checkSilence ends an attempt whose replica is silent. A replica does not count as silent if other requests recently
@@ -221,14 +221,14 @@
 		// Otherwise net/http adds its own User-Agent.
 		req.Header["User-Agent"] = []string{""}
 	}
-	dress := ForwardInfo{
+	fi := ForwardInfo{
 		Replica: att.eff.Replica.Name, Organisation: cl.org, TimeLeft: max(minTimeLeft, time.Until(att.eff.Deadline)),
 		Priority: att.eff.Priority, After: cl.lastEventID,
 	}
 	for i, helper := range att.eff.Helpers {
-		dress.Helpers = append(dress.Helpers, ForwardHelper{Address: helper.Address, Ticket: att.reservationID(i)})
+		fi.Helpers = append(fi.Helpers, ForwardHelper{Address: helper.Address, Ticket: att.reservationID(i)})
 	}
-	att.in.protocol.SetHeaders(req.Header, dress)
+	att.in.protocol.SetHeaders(req.Header, fi)
 	return req
 }
 
@@ -254,19 +254,19 @@
 	}
 }
 
-func (att *attempt) receive(ctx context.Context, resp *http.Response, reply ResponseInfo) steer.Result {
+func (att *attempt) receive(ctx context.Context, resp *http.Response, ri ResponseInfo) steer.Result {
 	att.ended.Status = resp.StatusCode
-	att.ended.FaultAt = reply.FaultyReplica
-	if reply.Name != att.cl.info.Name && reply.Name != "" {
+	att.ended.FaultAt = ri.FaultyReplica
+	if ri.Name != att.cl.info.Name && ri.Name != "" {
 		// This is a late response to an earlier request on a reused connection.
 		return steer.ResultBroken
 	}
 	switch {
-	case reply.Misdirected:
+	case ri.Misdirected:
 		return steer.ResultMisdirected
-	case reply.NotRun:
+	case ri.NotRun:
 		return steer.ResultNotRun
-	case !reply.Sealed || resp.Header.Get("Content-Encoding") != "":
+	case !ri.Sealed || resp.Header.Get("Content-Encoding") != "":
 		return steer.ResultBroken
 	case att.cl.route.Stream && resp.StatusCode < http.StatusMultipleChoices:
 		return att.stream(ctx, resp)
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -19,8 +19,8 @@
 	// effectQueueSize is the capacity of a call's effect channel; the reducer queues at most a Send and a Finish at
 	// once.
 	effectQueueSize = 4
-	// defaultPatience is how long a caller is taken to wait if its request does not say.
-	defaultPatience = 30 * time.Second
+	// defaultTimeout is how long a caller is taken to wait if its request states no timeout.
+	defaultTimeout = 30 * time.Second
 	// noConfigRetryAfter is the Retry-After sent by an Instance without a usable configuration.
 	noConfigRetryAfter = 300 * time.Millisecond
 	// writeGrace is how long after a request's deadline its error response may still be written.
@@ -70,11 +70,11 @@
 	if !in.readBody(cl) {
 		return
 	}
-	patience := cl.info.Patience
-	if patience <= 0 {
-		patience = defaultPatience
+	timeout := cl.info.Patience
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
-	cl.deadline = arrived.Add(min(patience, cl.route.Timeout.Std()))
+	cl.deadline = arrived.Add(min(timeout, cl.route.Timeout.Std()))
 	_ = cl.control.SetWriteDeadline(cl.deadline.Add(writeGrace))
 	cl.arrived = arrived
 	in.process(cl, in.arrivedEvent(cl))
@@ -140,17 +140,17 @@
 	cl.id = steer.RequestID(in.nextID.Add(1))
 	return steer.Arrived{
 		ID: cl.id, Route: cl.route, Name: cl.info.Name, Organisation: cl.org, Priority: priority,
-		Prompt: cl.info.Prompt, Answer: cl.info.Answer, Deadline: cl.deadline, LeavesAt: patienceEnd(cl.route, cl.arrived, cl.deadline),
+		Prompt: cl.info.Prompt, Answer: cl.info.Answer, Deadline: cl.deadline, LeavesAt: callerLeavesAt(cl.route, cl.arrived, cl.deadline),
 		Digest: cl.digest(), StatedTimeout: cl.info.Patience,
 	}
 }
 
-// patienceEnd returns when a caller gives up if no answer has begun.
-func patienceEnd(route *decl.Route, arrived, deadline time.Time) time.Time {
+// callerLeavesAt returns when a caller gives up if no answer has begun.
+func callerLeavesAt(route *decl.Route, arrived, deadline time.Time) time.Time {
 	if !route.Stream {
 		return deadline
 	}
-	wait := max(minPatience, patienceGoals*route.Goal.Std(), patienceGaps*route.Gap.Std())
+	wait := max(minCallerWait, callerWaitGoals*route.Goal.Std(), callerWaitGaps*route.Gap.Std())
 	if at := arrived.Add(wait); at.Before(deadline) {
 		return at
 	}
@@ -159,12 +159,12 @@
 
 // The caller of a stream that has not begun gives up after the longest of the following times without an event.
 const (
-	// minPatience is the minimum time.
-	minPatience = 2 * time.Second
-	// patienceGoals is the time as a multiple of the route's Goal.
-	patienceGoals = 4
-	// patienceGaps is the time as a multiple of the route's Gap.
-	patienceGaps = 8
+	// minCallerWait is the minimum time.
+	minCallerWait = 2 * time.Second
+	// callerWaitGoals is the time as a multiple of the route's Goal.
+	callerWaitGoals = 4
+	// callerWaitGaps is the time as a multiple of the route's Gap.
+	callerWaitGaps = 8
 )
 
 func (cl *call) digest() steer.Digest {
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -186,7 +186,7 @@
 func (fl *follower) confirmByPeer(ctx context.Context, from *net.UDPAddr) bool {
 	oldest := time.Duration(maxAgeShare * float64(fl.in.opts.ConfigLag))
 	for range maxConfirmRounds {
-		asked := bootTime()
+		requestedAt := bootTime()
 		conf, ok := fl.in.gossip.requestConfirmation(ctx, from, fl.in.changes.revision())
 		if !ok {
 			fl.in.count("Peers.Unanswered")
@@ -202,7 +202,7 @@
 		}
 		if fl.in.changes.revision() >= conf.Revision {
 			fl.markReachable()
-			fl.confirm(asked - time.Duration(conf.AgeMs)*time.Millisecond)
+			fl.confirm(requestedAt - time.Duration(conf.AgeMs)*time.Millisecond)
 			return true
 		}
 	}
@@ -214,18 +214,18 @@
 	limited, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	// The confirmation dates from before the call: a change that the store accepts after its response is not in it.
-	asked := bootTime()
+	requestedAt := bootTime()
 	fl.in.count("Store.Questions")
 	revision, err := fl.in.directory.Revision(limited)
 	if err == nil {
-		err = fl.update(ctx, revision, changesTimeout+changesFactor*(bootTime()-asked))
+		err = fl.update(ctx, revision, changesTimeout+changesFactor*(bootTime()-requestedAt))
 	}
 	if err != nil {
 		fl.markUnreachable(ctx, err)
 		return false
 	}
 	fl.markReachable()
-	fl.confirm(asked)
+	fl.confirm(requestedAt)
 	return true
 }
 
--- a/internal/relay/limit.go
+++ b/internal/relay/limit.go
@@ -10,8 +10,8 @@
 )
 
 // recordRateLimit passes the rate limit in a replica's response to the reducer. sent is when the request was sent.
-func (in *Instance) recordRateLimit(replica steer.Replica, sent time.Time, reply ResponseInfo) {
-	in.apply(steer.ResponseReceived{Replica: replica.Name, Born: replica.Born, Sent: sent, Limited: reply.Limited, PerS: reply.Limit})
+func (in *Instance) recordRateLimit(replica steer.Replica, sent time.Time, ri ResponseInfo) {
+	in.apply(steer.ResponseReceived{Replica: replica.Name, Born: replica.Born, Sent: sent, Limited: ri.Limited, PerS: ri.Limit})
 }
 
 // limitPrefix is the name prefix of the gauges of the rate limits in force.
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -51,12 +51,12 @@
 		entry.Float64("PerS", line.PerS)
 	}
 	if line.End != nil {
-		logEnd(entry, line.End)
+		logOutcome(entry, line.End)
 	}
 	entry.Msg(line.Message)
 }
 
-func logEnd(entry *log.Entry, end *steer.Outcome) {
+func logOutcome(entry *log.Entry, end *steer.Outcome) {
 	addString(entry, "Route", end.Route)
 	entry.Float64("Value", math.Round(end.Value*100)/100).Int64("GoalMs", end.Goal.Milliseconds())
 	if end.TriedBefore {
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -84,11 +84,11 @@
 	ParseRequest(req *http.Request) RequestInfo
 	// SetHeaders sets the headers that a replica is sent in addition to the caller's, and removes those that it must not
 	// see.
-	SetHeaders(header http.Header, dr ForwardInfo)
+	SetHeaders(header http.Header, fi ForwardInfo)
 	// ParseResponse parses the headers of a replica's response.
 	ParseResponse(resp *http.Response) ResponseInfo
 	// Reserve returns the request that reserves memory at a replica or renews a reservation.
-	Reserve(ctx context.Context, replica steer.Replica, tk Reservation) (*http.Request, error)
+	Reserve(ctx context.Context, replica steer.Replica, rsv Reservation) (*http.Request, error)
 	// NewLoadRequest returns the request for a replica's load report.
 	NewLoadRequest(ctx context.Context, replica steer.Replica) (*http.Request, error)
 	// ParseLoad parses a load report: the number of requests that run or wait at the replica, and the memory in tokens that
@@ -113,7 +113,7 @@
 	Name string
 	// Token is the caller's access token, empty if it sent none.
 	Token string
-	// Patience is how long the caller waits for the response, 0 if it did not say.
+	// Patience is the timeout that the caller stated for the response, 0 if it stated none.
 	Patience time.Duration
 	// Prompt is the length of the prompt in tokens.
 	Prompt int64
@@ -153,11 +153,11 @@
 	NotRun bool
 	// Misdirected reports that the response came from another replica than the one that the request was meant for.
 	Misdirected bool
-	// RetryAfter is how long the replica asks callers to wait before they try again, 0 if it does not say.
+	// RetryAfter is how long the replica asks callers to wait before they try again, 0 if it states no time.
 	RetryAfter time.Duration
 	// FaultyReplica names the replica at fault, empty if it is unknown or the one that was sent the request.
 	FaultyReplica string
-	// Limited reports whether the replica announces a rate limit.
+	// Limited reports whether the response states a rate limit.
 	Limited bool
 	// Limit is that rate limit in requests per second, summed over all Instances.
 	Limit float64
--- a/internal/relay/update.go
+++ b/internal/relay/update.go
@@ -157,7 +157,7 @@
 // only some of the changes would count as complete. The changes come from the Instance at the address, or from the
 // store if from is nil.
 func (fl *follower) applyChanges(ctx context.Context, from *net.UDPAddr, changes []Change, upTo int64) error {
-	relisted, peersChanged, routingRevision := fl.classify(changes)
+	listChanged, peersChanged, routingRevision := fl.classify(changes)
 	if routingRevision > 0 {
 		routing, err := fl.routingAt(ctx, from, routingRevision)
 		if err != nil {
@@ -169,13 +169,13 @@
 		fl.in.setPeers(fl.peers)
 	}
 	fl.in.changes.add(changes, upTo)
-	fl.in.apply(relisted)
+	fl.in.apply(listChanged)
 	return nil
 }
 
 // classify sorts the changes into those of replicas, of instances, which it applies to fl.peers, and of the
 // configuration, of which it returns the last revision or 0.
-func (fl *follower) classify(changes []Change) (relisted steer.ListChanged, peersChanged bool, routingRevision int64) {
+func (fl *follower) classify(changes []Change) (listChanged steer.ListChanged, peersChanged bool, routingRevision int64) {
 	latest := map[string]*steer.Replica{}
 	for i := range changes {
 		chg := &changes[i]
@@ -194,15 +194,15 @@
 			peersChanged = true
 		}
 	}
-	relisted.AfterOutage = fl.storeDown
+	listChanged.AfterOutage = fl.storeDown
 	for _, name := range slices.Sorted(maps.Keys(latest)) {
 		if rep := latest[name]; rep != nil {
-			relisted.Replicas = append(relisted.Replicas, *rep)
+			listChanged.Replicas = append(listChanged.Replicas, *rep)
 		} else {
-			relisted.Gone = append(relisted.Gone, name)
+			listChanged.Gone = append(listChanged.Gone, name)
 		}
 	}
-	return relisted, peersChanged, routingRevision
+	return listChanged, peersChanged, routingRevision
 }
 
 // catchUp applies the changes in another Instance's confirmation. If that Instance no longer holds them, everything is
--- a/internal/steer/batch.go
+++ b/internal/steer/batch.go
@@ -49,8 +49,8 @@
 }
 
 // refill brings the allowance up to now. Its capacity is the burst, or one message for each recipient if that is more.
-func (al *allowance) refill(now time.Time, listeners int) {
-	capacity := max(messageRate*messageBurst.Seconds(), float64(listeners))
+func (al *allowance) refill(now time.Time, recipients int) {
+	capacity := max(messageRate*messageBurst.Seconds(), float64(recipients))
 	if al.at.IsZero() {
 		al.messages = capacity
 	} else {
@@ -61,9 +61,9 @@
 
 // sendDelay is how long a change must wait until the allowance covers the users of the subset, at most maxDelay.
 func (st *State) sendDelay(sub subset, maxDelay time.Duration) time.Duration {
-	listeners := st.recipients(sub)
-	st.allowance.refill(st.now, listeners)
-	missing := float64(listeners) - st.allowance.messages
+	recipients := st.recipients(sub)
+	st.allowance.refill(st.now, recipients)
+	missing := float64(recipients) - st.allowance.messages
 	if missing <= 0 {
 		return 0
 	}
@@ -101,8 +101,8 @@
 // requests beyond its slots wait there until an answer ends.
 func nearlyFull(rep *replica) bool { return rep.freeSlots() <= contendedSlots }
 
-// mayOverdraw reports whether a change may be sent ahead of the allowance: one may, as long as the one before has been
-// made up for.
+// mayOverdraw reports whether a change may be sent ahead of the allowance: only once the allowance has recovered from the
+// previous overdraft.
 func (st *State) mayOverdraw() bool { return st.allowance.messages >= 0 }
 
 // readsAlone reports whether the request's reading keeps other long reads off its engines.
@@ -187,8 +187,8 @@
 			next = pend.due
 		}
 	}
-	if !next.IsZero() && (!st.postAt.After(st.now) || next.Before(st.postAt)) {
-		st.postAt = next
+	if !next.IsZero() && (!st.flushAt.After(st.now) || next.Before(st.flushAt)) {
+		st.flushAt = next
 		st.emit(Wake{After: next.Sub(st.now)})
 	}
 }
--- a/internal/steer/batch_test.go
+++ b/internal/steer/batch_test.go
@@ -20,8 +20,8 @@
 	return Arrived{ID: id, Route: &batchRoute, Prompt: prompt, Answer: 100, Digest: Digest(id), Deadline: now.Add(10 * time.Second), LeavesAt: now.Add(2 * time.Second)}
 }
 
-// tells returns the notes to other instances among the effects of the event.
-func tells(st *State, now time.Time, ev Event) []SendNote {
+// sentNotes returns the notes to other instances among the effects of the event.
+func sentNotes(st *State, now time.Time, ev Event) []SendNote {
 	var found []SendNote
 	for _, eff := range st.Reduce(now, ev) {
 		if eff, ok := eff.(SendNote); ok {
@@ -39,19 +39,19 @@
 	now := fleetStart
 	datagrams := 0
 	count := func(list []SendNote) {
-		for _, tell := range list {
-			assert.Assert(t, tell.To != nil)
-			datagrams += len(tell.To)
+		for _, sent := range list {
+			assert.Assert(t, sent.To != nil)
+			datagrams += len(sent.To)
 		}
 	}
-	count(tells(st, now, arrival(now, 1, 5000)))
+	count(sentNotes(st, now, arrival(now, 1, 5000)))
 	now = now.Add(150 * time.Millisecond)
-	count(tells(st, now, Ticked{}))
-	count(tells(st, now, Began{ID: 1, Attempt: 1}))
+	count(sentNotes(st, now, Ticked{}))
+	count(sentNotes(st, now, Began{ID: 1, Attempt: 1}))
 	now = now.Add(time.Second)
-	count(tells(st, now, Ticked{}))
-	count(tells(st, now, AttemptEnded{ID: 1, Attempt: 1, Result: ResultDone, Begun: true}))
-	count(tells(st, now.Add(time.Second), Ticked{}))
+	count(sentNotes(st, now, Ticked{}))
+	count(sentNotes(st, now, AttemptEnded{ID: 1, Attempt: 1, Result: ResultDone, Begun: true}))
+	count(sentNotes(st, now.Add(time.Second), Ticked{}))
 	assert.Assert(t, datagrams >= 3*30 && datagrams <= 3*38, datagrams)
 }
 
@@ -62,17 +62,17 @@
 	// for claims, which are never delayed.
 	st := fleet{195, 112, 5}.instance(3)
 	messages, jobs, largest := 0, 0, 0
-	assert.Equal(t, len(tells(st, fleetStart, arrival(fleetStart, 1, 1000))), 1)
+	assert.Equal(t, len(sentNotes(st, fleetStart, arrival(fleetStart, 1, 1000))), 1)
 	for id := range RequestID(500) {
 		now := fleetStart.Add(time.Duration(id+1) * 2 * time.Millisecond)
-		for _, tell := range append(tells(st, now, Ticked{}), tells(st, now, arrival(now, id+2, 1000))...) {
-			if !slices.ContainsFunc(tell.Note.Jobs, func(job Job) bool { return job.Claim }) {
-				messages += len(tell.To)
+		for _, sent := range append(sentNotes(st, now, Ticked{}), sentNotes(st, now, arrival(now, id+2, 1000))...) {
+			if !slices.ContainsFunc(sent.Note.Jobs, func(job Job) bool { return job.Claim }) {
+				messages += len(sent.To)
 			}
-			jobs += len(tell.Note.Jobs)
-			largest = max(largest, len(tell.Note.Jobs))
-			if len(tell.Note.Jobs) > 1 {
-				oldest := tell.Note.Jobs[0]
+			jobs += len(sent.Note.Jobs)
+			largest = max(largest, len(sent.Note.Jobs))
+			if len(sent.Note.Jobs) > 1 {
+				oldest := sent.Note.Jobs[0]
 				assert.Assert(t, oldest.Age > 0 && oldest.Goal+oldest.Age == 400, oldest)
 			}
 		}
@@ -100,7 +100,7 @@
 					st.Reduce(fleetStart, arrival(fleetStart, 100+id, 100))
 				}
 			}
-			sent := tells(st, fleetStart, arrival(fleetStart, 1, tc.prompt))
+			sent := sentNotes(st, fleetStart, arrival(fleetStart, 1, tc.prompt))
 			assert.Assert(t, len(sent) == 1 && len(sent[0].Note.Jobs) > 0, sent)
 		})
 	}
@@ -135,7 +135,7 @@
 	st.Reduce(now, NoteReceived{Note: note})
 	for id := range RequestID(2) {
 		now = now.Add(5 * time.Millisecond)
-		sent := tells(st, now, arrival(now, id+1, 1000))
+		sent := sentNotes(st, now, arrival(now, id+1, 1000))
 		assert.Equal(t, len(sent), 1, "start %d", id)
 		assert.Equal(t, len(sent[0].Note.Jobs), 1)
 	}
--- a/internal/steer/claim.go
+++ b/internal/steer/claim.go
@@ -24,7 +24,7 @@
 	claimTTL = 2 * claimDelay
 	// claimBackoff is how long a request waits after its claim was withdrawn.
 	claimBackoff = 5 * time.Millisecond
-	// waitingAfter is the age from which a request counts as waiting in myTurn.
+	// waitingAfter is the age from which a request counts as waiting in mayTakeSlot.
 	waitingAfter = 5 * time.Millisecond
 	// claimsPerSlot is the desired number of claims for each free slot. Fewer could leave the slot idle, and most of any
 	// more would be withdrawn.
@@ -37,8 +37,8 @@
 	return st.live > 1 && st.services[first.Service].engine != nil && first.freeSlots() <= scarceSlots
 }
 
-// resolveClaims decides the claims that have waited for claimTime: it sends the requests that win their slot and withdraws the
-// claims that lose it to others of higher rank.
+// resolveClaims decides the claims that have waited for claimDelay: it sends the requests that win their slot and withdraws
+// the claims that lose it to others of higher rank.
 func (st *State) resolveClaims() {
 	var due []*request
 	st.claims = slices.DeleteFunc(st.claims, func(req *request) bool {
@@ -111,27 +111,28 @@
 	return wk.key.from
 }
 
-// mayTakeSlot reports whether the request may try to take a free slot of the replica now. All instances learn of a freed slot at
-// once, and all their waiting requests would claim it. So a waiting request tries with the probability that yields about
-// claimsPerSlot claims for each free slot, and tries again at the next tick. New requests always may.
-func (st *State) mayTakeSlot(rep *replica, req *request, rivals int) bool {
+// mayTakeSlot reports whether the request, one of the given number that wait, may try to take a free slot of the replica
+// now. All instances learn of a freed slot at once, and all their waiting requests would claim it. So a waiting request
+// tries with the probability that yields about claimsPerSlot claims for each free slot, and tries again at the next tick.
+// New requests always may.
+func (st *State) mayTakeSlot(rep *replica, req *request, waiting int) bool {
 	if st.now.Sub(req.at) < waitingAfter {
 		return true
 	}
 	wanted := claimsPerSlot * rep.freeSlots()
-	return wanted >= rivals || st.random.IntN(rivals) < wanted
+	return wanted >= waiting || st.random.IntN(waiting) < wanted
 }
 
-// waitingRequests returns how many requests wait at the instances that use the same replicas. An instance without notes counts as
-// one.
+// waitingRequests returns how many requests wait at the instances that use the same replicas. An instance from which no
+// note has arrived counts as one.
 func (st *State) waitingRequests(svc *service) int {
-	rivals := max(1, len(st.waiting))
+	waiting := max(1, len(st.waiting))
 	for _, name := range st.othersUsing(st.ownSubset(svc)) {
 		if pr, ok := st.peers[name]; ok {
-			rivals += pr.waiting
+			waiting += pr.waiting
 		} else {
-			rivals++
+			waiting++
 		}
 	}
-	return rivals
+	return waiting
 }
--- a/internal/steer/cost.go
+++ b/internal/steer/cost.go
@@ -24,8 +24,8 @@
 	for _, rep := range st.candidates(svc) {
 		if rep.usable(st.now) {
 			count++
-			out := rep.forecast(svc.engine, &st.tune, st.now)
-			total += min(out.backlog()/1000, maxBacklog)
+			fc := rep.forecast(svc.engine, &st.tune, st.now)
+			total += min(fc.backlog()/1000, maxBacklog)
 		}
 	}
 	return total / float64(max(1, count))
@@ -64,24 +64,24 @@
 	return wk.value * tune.LeaveCost
 }
 
-// ownPauseLoss returns the loss of the request's own value if every pass of the engine is longer than the pause that its caller
-// was promised. It keeps streams off an engine that has become several times slower than declared but still answers.
-func (st *State) ownPauseLoss(eng *decl.Engine, req *request, out *forecast) float64 {
+// ownPauseLoss returns the loss of the request's own value if every pass of the engine is longer than the pause that its
+// caller was promised. It keeps streams off an engine that has become several times slower than declared but still answers.
+func (st *State) ownPauseLoss(eng *decl.Engine, req *request, fc *forecast) float64 {
 	wk := work{gap: req.gap, leaves: req.LeavesAt.Sub(req.at), value: req.value}
-	return st.tune.pauseLoss(&wk, out.slow*float64(eng.Stride)*out.step)
+	return st.tune.pauseLoss(&wk, fc.slow*float64(eng.Stride)*fc.step)
 }
 
 // harmToOthers returns the value that the replica's other requests lose additionally if it reads this part too. The reading
 // lengthens the next pass: streams pause until the pass ends, and answers that wait for the same pass begin at its end.
-func (st *State) harmToOthers(rep *replica, out *forecast, part decl.Reading) float64 {
-	pauseBefore, pauseAfter := out.pause(decl.Reading{}), out.pause(part)
-	firstBefore, firstAfter := out.firstEvent(decl.Reading{}), out.firstEvent(part)
+func (st *State) harmToOthers(rep *replica, fc *forecast, part decl.Reading) float64 {
+	pauseBefore, pauseAfter := fc.pause(decl.Reading{}), fc.pause(part)
+	firstBefore, firstAfter := fc.firstEvent(decl.Reading{}), fc.firstEvent(part)
 	var lost float64
 	for i := range rep.works {
 		wk := &rep.works[i]
 		switch {
 		case !wk.first:
-		case wk.begun || wk.stage != stageWaits:
+		case wk.begun || wk.stage != stageWaiting:
 			lost += st.tune.pauseLoss(wk, pauseAfter) - st.tune.pauseLoss(wk, pauseBefore)
 		default:
 			left := ms(wk.goal.Sub(st.now))
@@ -91,8 +91,8 @@
 	return lost
 }
 
-// spreadCost returns the cost of a stream with a short gap on an engine that has few such streams. It concentrates them on few
-// engines, so that the other engines stay free for long prompts.
+// spreadCost returns the cost of a stream with a short gap on an engine that has few such streams. It concentrates them on
+// few engines, so that the other engines stay free for long prompts.
 func (tune *Tuning) spreadCost(rep *replica, req *request) float64 {
 	alike := 0
 	for i := range rep.works {
--- a/internal/steer/effect.go
+++ b/internal/steer/effect.go
@@ -14,8 +14,8 @@
 	Helpers []Helper
 	// Priority is passed on to the engine; 0 is the most urgent.
 	Priority int
-	// NewConnection requests a new connection. The replica may just have closed an idle keep-alive connection, and a request that
-	// breaks on it could not be retried because it may have run.
+	// NewConnection requests a new connection. The replica may just have closed an idle keep-alive connection, and a
+	// request that breaks on it could not be retried because it may have run.
 	NewConnection bool
 	Deadline      time.Time
 	// FirstTimeout is the timeout for the first byte of the answer.
@@ -77,11 +77,11 @@
 // SendNote sends a note to other instances. The note may be lost.
 type SendNote struct {
 	Note Note
-	// To names the receivers, nil for all other instances.
+	// To names the recipients, nil for all other instances.
 	To []string
 }
 
-// QueryLoad queries engines for their load. A Surveyed follows for each engine that answers.
+// QueryLoad queries engines for their load. A LoadReported follows for each engine that answers.
 type QueryLoad struct{ Replicas []Replica }
 
 // Wake requests a Ticked after the given time.
--- a/internal/steer/event.go
+++ b/internal/steer/event.go
@@ -35,7 +35,7 @@
 	Deadline time.Time
 	// LeavesAt is when the caller is expected to leave if no answer has begun.
 	LeavesAt time.Time
-	// StatedTimeout is the remaining time that the caller announced, 0 if it announced none.
+	// StatedTimeout is the remaining time that the caller stated, 0 if it stated none.
 	StatedTimeout time.Duration
 	Digest        Digest
 }
@@ -97,7 +97,8 @@
 	PauseAt time.Time
 	// Status is the HTTP status of the replica's answer, 0 if there was none.
 	Status int
-	// FaultAt is the name or address of the replica at fault if that is not the one asked, empty if unknown.
+	// FaultAt is the name or address of the replica at fault if that is not the one that was sent the request, empty if
+	// unknown.
 	FaultAt string
 }
 
@@ -142,7 +143,7 @@
 // NoteReceived carries a note received from another instance.
 type NoteReceived struct{ Note Note }
 
-// LoadReported carries an engine's own load report, the answer to a Survey.
+// LoadReported carries an engine's own load report, the answer to a QueryLoad.
 type LoadReported struct {
 	Replica string
 	// Running counts the requests that the engine runs or has queued.
@@ -158,9 +159,9 @@
 	Born int64
 	// Sent is when the request was sent.
 	Sent time.Time
-	// Limited reports whether the answer announces a rate limit.
+	// Limited reports whether the answer states a rate limit.
 	Limited bool
-	// PerS is the announced limit in requests per second, for all instances together.
+	// PerS is the stated limit in requests per second, for all instances together.
 	PerS float64
 }
 
--- a/internal/steer/grant.go
+++ b/internal/steer/grant.go
@@ -10,16 +10,16 @@
 
 // Grants of sends to rate-limited replicas. One instance grants all sends to a limited replica. It is chosen by rendezvous
 // hashing of the replica's name, so no election is needed. It keeps a single schedule: a request for the replica asks for a
-// send, and the answer states when it may be sent or when capacity will be available. The capacity thus follows demand from
-// one request to the next, and the limit may be lower than the number of instances. Where instances disagree on who grants,
-// each of the two receives notes of the other's sends and counts them. An instance that reaches only some of the others
+// send, and the answer states when it may be sent or when to ask again. The capacity thus follows demand from one request to
+// the next, and the limit may be lower than the number of instances. Where instances disagree on which one grants, each of
+// the granting ones receives notes of the others' sends and counts them. An instance that reaches only some of the others
 // grants only their share of the limit.
 
 const (
-	// silentTime is how long an instance that did not answer is skipped when the granting instance is chosen.
-	silentTime = time.Second
+	// unresponsiveTime is how long an instance that did not answer is skipped when the granting instance is chosen.
+	unresponsiveTime = time.Second
 	// retriesPerSend is how many refused requests ask again for each send that becomes available. If all of them did, the
-	// number of asks would grow with the number of instances.
+	// number of grant requests would grow with the number of instances.
 	retriesPerSend = 4
 	// substituteShare is the part of the limit that a substitute grants until the instance that should grant is known to be
 	// gone. In a network partition that instance still grants the whole limit to its own side.
@@ -35,8 +35,8 @@
 	grantRetention = time.Second
 )
 
-// Ask requests a send to a rate-limited replica from the instance that grants them.
-type Ask struct {
+// GrantRequest requests a send to a rate-limited replica from the instance that grants them.
+type GrantRequest struct {
 	Job     JobID  `cbor:"1,keyasint,omitempty"`
 	Replica string `cbor:"2,keyasint,omitempty"`
 	// AcceptedWaitMs is the longest wait in ms that the request accepts: slightly more than the estimate by which the
@@ -51,10 +51,10 @@
 	Recent int `cbor:"6,keyasint,omitempty"`
 }
 
-// maxValue is the highest value accepted in an Ask, far above that of the longest prompt.
+// maxValue is the highest value accepted in a GrantRequest, far above that of the longest prompt.
 const maxValue = 1e6
 
-// Grant answers an Ask.
+// Grant answers a GrantRequest.
 type Grant struct {
 	Job     JobID  `cbor:"1,keyasint,omitempty"`
 	Replica string `cbor:"2,keyasint,omitempty"`
@@ -64,8 +64,8 @@
 	Refused bool `cbor:"4,keyasint,omitempty"`
 }
 
-func (ak *Ask) valid() bool {
-	return ak.Replica != "" && ak.AcceptedWaitMs >= 0 && ak.MaxWaitMs >= 0 && ak.Value >= 0 && ak.Value <= maxValue && ak.Recent >= 0
+func (gq *GrantRequest) valid() bool {
+	return gq.Replica != "" && gq.AcceptedWaitMs >= 0 && gq.MaxWaitMs >= 0 && gq.Value >= 0 && gq.Value <= maxValue && gq.Recent >= 0
 }
 
 func (gr *Grant) valid() bool { return gr.Replica != "" && gr.AfterMs >= 0 }
@@ -82,9 +82,9 @@
 // granter returns the name of the instance that grants sends to the replica, as far as is known here.
 func (st *State) granter(rep *replica) string { return st.firstGranter(rep, true) }
 
-// firstGranter returns the highest-ranked instance that may grant sends to the replica. With skipSilent, instances that
-// recently failed to answer are left out.
-func (st *State) firstGranter(rep *replica, skipSilent bool) string {
+// firstGranter returns the highest-ranked instance that may grant sends to the replica. With skipUnresponsive,
+// instances that recently failed to answer are left out.
+func (st *State) firstGranter(rep *replica, skipUnresponsive bool) string {
 	sub := st.granters(rep)
 	best, highest := "", uint64(0)
 	consider := func(name string) {
@@ -96,7 +96,7 @@
 		consider(st.Options.Name)
 	}
 	for _, name := range st.othersUsing(sub) {
-		if !skipSilent || st.now.Sub(st.lastUnanswered[name]) >= silentTime {
+		if !skipUnresponsive || st.now.Sub(st.lastUnanswered[name]) >= unresponsiveTime {
 			consider(name)
 		}
 	}
@@ -107,14 +107,14 @@
 // it may still grant sends to others on the far side of a network partition.
 func (st *State) isSubstitute(rep *replica) bool {
 	first := st.firstGranter(rep, false)
-	_, heard := st.peers[first]
-	return first != st.Options.Name && heard
+	_, live := st.peers[first]
+	return first != st.Options.Name && live
 }
 
 // reachableShare returns the share of the registered instances in this instance's subsets from which notes arrive, itself
 // included. During a network partition an instance cannot know what the unreachable ones send.
 func (st *State) reachableShare() float64 {
-	registered, heard := 1, 1
+	registered, reachable := 1, 1
 	for _, svc := range st.services {
 		if svc.engine == nil {
 			continue
@@ -122,11 +122,11 @@
 		for _, name := range st.othersUsing(st.ownSubset(svc)) {
 			registered++
 			if _, ok := st.peers[name]; ok {
-				heard++
+				reachable++
 			}
 		}
 	}
-	return float64(heard) / float64(registered)
+	return float64(reachable) / float64(registered)
 }
 
 // grantRate returns how many sends a second this instance grants. Renewals of memory reservations are subtracted from the
@@ -141,7 +141,7 @@
 
 // grant books a send if one is available within the accepted wait. It returns the time until the send or, if ok is false,
 // the time after which the request should ask again.
-func (st *State) grant(rep *replica, key jobKey, ak *Ask) (after time.Duration, ok bool) {
+func (st *State) grant(rep *replica, key jobKey, gq *GrantRequest) (after time.Duration, ok bool) {
 	rl := rep.limit
 	if sendAt, known := rl.grants[key]; known {
 		// The answer was lost, so the request asked again.
@@ -156,12 +156,12 @@
 	maxInSpan := int(perS*limitSpan.Seconds()) + 1
 	if len(rep.sends) >= maxInSpan {
 		after = max(after, rep.sends[len(rep.sends)-maxInSpan].Add(limitSpan).Sub(st.now))
-	} else if ak.Recent >= maxInSpan {
+	} else if gq.Recent >= maxInSpan {
 		after = max(after, duration(1000/perS))
 	}
-	value := float64(ak.Value)
-	maxWait := min(time.Duration(ak.MaxWaitMs)*time.Millisecond, rl.maxDelayFor(st.now, value))
-	if after > min(maxWait, time.Duration(ak.AcceptedWaitMs)*time.Millisecond) {
+	value := float64(gq.Value)
+	maxWait := min(time.Duration(gq.MaxWaitMs)*time.Millisecond, rl.maxDelayFor(st.now, value))
+	if after > min(maxWait, time.Duration(gq.AcceptedWaitMs)*time.Millisecond) {
 		reserved.CancelAt(st.now)
 		if after <= maxWait {
 			return after, false
@@ -194,10 +194,10 @@
 	return time.Duration(value / rl.topValue * float64(maxGrantDelay))
 }
 
-// forgetGrants drops expired grants for whose sends no note arrived, and expired entries of unresponsive instances.
-func (st *State) forgetGrants() {
+// dropExpiredGrants drops expired grants for whose sends no note arrived, and expired entries of unresponsive instances.
+func (st *State) dropExpiredGrants() {
 	for name, at := range st.lastUnanswered {
-		if st.now.Sub(at) >= silentTime {
+		if st.now.Sub(at) >= unresponsiveTime {
 			delete(st.lastUnanswered, name)
 		}
 	}
@@ -213,24 +213,24 @@
 	}
 }
 
-// receiveAsks answers the asks of another instance.
-func (st *State) receiveAsks(from string, asks []Ask) {
-	for i := range asks {
-		ak := &asks[i]
-		rep, ok := st.replicas[ak.Replica]
+// receiveGrantRequests answers the grant requests of another instance.
+func (st *State) receiveGrantRequests(from string, requests []GrantRequest) {
+	for i := range requests {
+		gq := &requests[i]
+		rep, ok := st.replicas[gq.Replica]
 		if !ok || rep.limit == nil && rep.limitEnded.IsZero() {
 			// The asking instance knows another incarnation of the replica. The next instance by rank may know it too.
 			continue
 		}
-		reply := Note{}
-		grant := Grant{Job: ak.Job, Replica: ak.Replica}
+		nt := Note{}
+		grant := Grant{Job: gq.Job, Replica: gq.Replica}
 		if rep.limit == nil {
-			reply.Limits = []Limit{st.limitOf(rep)}
+			nt.Limits = []Limit{st.limitOf(rep)}
 		} else {
-			after, ok := st.grant(rep, jobKey{from, ak.Job}, ak)
+			after, ok := st.grant(rep, jobKey{from, gq.Job}, gq)
 			grant.AfterMs, grant.Refused = millis(after+time.Millisecond-1), !ok
 		}
-		reply.Grants = []Grant{grant}
-		st.emit(SendNote{Note: st.note(reply), To: []string{from}})
+		nt.Grants = []Grant{grant}
+		st.emit(SendNote{Note: st.note(nt), To: []string{from}})
 	}
 }
--- /dev/null
+++ b/internal/steer/grantrequest.go
@@ -0,0 +1,223 @@
+package steer
+
+import "time"
+
+// Requests for sends to rate-limited replicas. A request that is placed at a limited replica asks the granting instance for
+// a send. It waits for the granted time if that is early enough, and looks for another replica otherwise.
+
+const (
+	// grantTimeout is how long to wait for the answer to a grant request: several round trips of a note.
+	grantTimeout = 30 * time.Millisecond
+	// grantTries is how often an instance is asked before it counts as unresponsive, since notes may be lost.
+	grantTries = 3
+	// grantSlack is how much longer than the last estimate a request accepts to wait for the replica.
+	grantSlack = 50 * time.Millisecond
+	// grantValidity is how long after its time a grant may still be used. Without it, an instance that was frozen would send
+	// by an old grant.
+	grantValidity = 100 * time.Millisecond
+	// avoidTime is how long a request avoids a replica whose available sends are reserved for requests of higher value.
+	avoidTime = 100 * time.Millisecond
+	// maxRetryAfter is the longest time after which callers are asked to retry. Limits seldom stay the same for longer.
+	maxRetryAfter = 10 * time.Second
+)
+
+// pendingGrant is the send to a limited replica for which a request has asked, granted or not yet.
+type pendingGrant struct {
+	// rep is nil if the request has asked for no send.
+	rep     *replica
+	job     JobID
+	granter string
+	// at is when the granting instance was last asked.
+	at    time.Time
+	tries int
+	// acceptedWait is the longest wait that the request accepts.
+	acceptedWait time.Duration
+	granted      bool
+	// sendAt is when the request may be sent.
+	sendAt time.Time
+}
+
+// maxWait returns how long a request may wait for a limited replica and still be in time or, if it is already late, still be
+// answered before its caller leaves.
+func (st *State) maxWait(req *request) time.Duration {
+	if req.late {
+		return max(0, time.Duration(st.tune.Safety*float64(req.goal.Sub(st.now))))
+	}
+	return max(0, req.goal.Sub(st.now)-time.Duration(st.tune.LateGoalShare*float64(req.Route.Goal.Std())))
+}
+
+// hasTurn reports whether the request was granted a send early enough that its caller will still be waiting.
+func (req *request) hasTurn() bool {
+	return req.grant.granted && req.grant.sendAt.Before(req.LeavesAt) && req.grant.sendAt.Before(req.Deadline)
+}
+
+// limitWait returns how long a request is likely to wait for a send to the replica. It returns false if that is too long or
+// if the request avoids the replica for now.
+func (st *State) limitWait(rep *replica, req *request) (time.Duration, bool) {
+	if rep.limit == nil {
+		return 0, true
+	}
+	if st.now.Before(req.avoidUntil[rep.Name]) {
+		return 0, false
+	}
+	wait := max(0, rep.limit.availableAt.Sub(st.now))
+	return wait, wait == 0 || wait <= st.maxWait(req)
+}
+
+// requestGrant asks for a send to the replica. If this instance is the granting one, it decides at once and may send. The
+// result reports whether the request was sent.
+func (st *State) requestGrant(req *request, rep *replica) bool {
+	st.nextJob(req)
+	req.grant = pendingGrant{rep: rep, job: req.job, granter: st.granter(rep), at: st.now, tries: 1}
+	req.grant.acceptedWait = min(st.maxWait(req), max(0, rep.limit.availableAt.Sub(st.now))+grantSlack)
+	if req.grant.granter != st.Options.Name {
+		st.sendGrantRequest(req)
+		return false
+	}
+	gq := st.newGrantRequest(req)
+	after, ok := st.grant(rep, jobKey{id: req.job}, &gq)
+	st.applyGrant(req, after, ok)
+	return st.trySend(req)
+}
+
+// newGrantRequest returns the GrantRequest for the send that the request has asked for.
+func (st *State) newGrantRequest(req *request) GrantRequest {
+	rep := req.grant.rep
+	return GrantRequest{Job: req.grant.job, Replica: rep.Name, AcceptedWaitMs: millis(req.grant.acceptedWait), MaxWaitMs: millis(st.maxWait(req)), Value: float32(req.value), Recent: rep.recentSends(st.now)}
+}
+
+// sendGrantRequest sends the GrantRequest, together with the limit as known here, to the granting instance.
+func (st *State) sendGrantRequest(req *request) {
+	nt := Note{Limits: []Limit{st.limitOf(req.grant.rep)}, GrantRequests: []GrantRequest{st.newGrantRequest(req)}}
+	st.emit(SendNote{Note: st.note(nt), To: []string{req.grant.granter}})
+	st.emit(Wake{After: grantTimeout})
+}
+
+// applyGrant applies the answer to the request's GrantRequest.
+func (st *State) applyGrant(req *request, after time.Duration, granted bool) {
+	pg := &req.grant
+	if granted {
+		pg.granted, pg.sendAt = true, st.now.Add(after)
+		if after > 0 {
+			st.emit(Wake{After: after})
+		}
+		return
+	}
+	if pg.rep.limit != nil {
+		pg.rep.limit.availableAt = st.now.Add(after)
+	}
+	if after <= pg.acceptedWait {
+		// Sends are available, but reserved for requests of higher value.
+		req.avoid(pg.rep, st.now.Add(avoidTime))
+	}
+	st.emit(LogLine{Message: "rate limit leaves no room", Request: req.Name, Replica: pg.rep.Name, Age: st.now.Sub(req.at), Estimate: after})
+	req.grant = pendingGrant{}
+}
+
+// followGrant continues a request that has asked for a send. It is sent at the granted time. If no answer came, the grant
+// has expired or the replica is not limited or not usable any more, it is placed anew. The result reports whether the
+// request was sent.
+func (st *State) followGrant(req *request) bool {
+	pg := &req.grant
+	switch {
+	case pg.rep.limit == nil || !pg.rep.usable(st.now):
+	case pg.granted && st.now.Before(pg.sendAt):
+		return false
+	case pg.granted && st.now.Sub(pg.sendAt) <= grantValidity:
+		if pl, ok := st.placeAt(req, pg.rep); ok {
+			st.bookGranted(req, pl)
+			st.send(req)
+			req.grant = pendingGrant{}
+			return true
+		}
+	case pg.granted:
+	case st.now.Sub(pg.at) < grantTimeout:
+		return false
+	case pg.tries < grantTries:
+		pg.tries++
+		pg.at = st.now
+		st.sendGrantRequest(req)
+		return false
+	default:
+		st.lastUnanswered[pg.granter] = st.now
+		st.emit(LogLine{Message: "instance grants nothing: silent", Request: req.Name, Replica: pg.rep.Name, Age: st.now.Sub(req.at)})
+	}
+	req.grant = pendingGrant{}
+	return st.trySend(req)
+}
+
+// avoid prevents the request from asking for a send to the replica until the given time.
+func (req *request) avoid(rep *replica, until time.Time) {
+	if req.avoidUntil == nil {
+		req.avoidUntil = map[string]time.Time{}
+	}
+	req.avoidUntil[rep.Name] = until
+}
+
+// receiveGrants applies the answers to this instance's grant requests.
+func (st *State) receiveGrants(grants []Grant) {
+	for _, grant := range grants {
+		req, ok := st.requests[RequestID(grant.Job/jobsPerRequest)]
+		if !ok || req.grant.rep == nil || req.grant.job != grant.Job || req.grant.granted || req.grant.rep.Name != grant.Replica {
+			continue
+		}
+		if st.now.Sub(req.grant.at) > grantTries*grantTimeout {
+			// This instance was frozen in the meantime, so the time of the grant has passed.
+			continue
+		}
+		st.applyGrant(req, time.Duration(grant.AfterMs)*time.Millisecond, !grant.Refused)
+	}
+	if len(grants) > 0 {
+		st.dispatch()
+	}
+}
+
+// blockedByLimits reports whether the rate limits of the replicas hold the request back for longer than it may wait.
+func (st *State) blockedByLimits(req *request) bool {
+	_, held := st.blockedUntil(req)
+	return held
+}
+
+// blockedUntil returns when the first of the service's replicas is likely to accept the request. held is true only if all
+// usable replicas are limited and none is likely to accept the request within the time that it may wait.
+func (st *State) blockedUntil(req *request) (first time.Time, held bool) {
+	if req.grant.rep != nil {
+		return time.Time{}, false
+	}
+	for _, rep := range st.candidates(st.serviceOf(req.service)) {
+		if !rep.usable(st.now) {
+			continue
+		}
+		if rep.limit == nil {
+			return time.Time{}, false
+		}
+		available := later(rep.limit.availableAt, req.avoidUntil[rep.Name])
+		if available.Sub(st.now) <= st.maxWait(req) {
+			return time.Time{}, false
+		}
+		if first.IsZero() || available.Before(first) {
+			first = available
+		}
+	}
+	return first, !first.IsZero()
+}
+
+// retryAfterLimit returns the time after which a caller that was refused because of rate limits should retry. It spaces the
+// callers evenly, at this instance's share of the sum of the limits, so that the replicas can accept them when they return.
+func (st *State) retryAfterLimit(req *request, first time.Time) time.Duration {
+	svc := st.serviceOf(req.service)
+	perS := 0.0
+	for _, rep := range st.candidates(svc) {
+		if rep.usable(st.now) && rep.limit != nil {
+			perS += max(minRate, rep.limit.perS)
+		}
+	}
+	interval := duration(1000 * float64(st.live) / max(minRate, perS))
+	svc.nextRetryAt = later(svc.nextRetryAt, first)
+	if latest := st.now.Add(maxRetryAfter); svc.nextRetryAt.After(latest) {
+		svc.nextRetryAt = latest
+	}
+	after := max(notRunDelay, svc.nextRetryAt.Sub(st.now))
+	svc.nextRetryAt = svc.nextRetryAt.Add(interval)
+	return after
+}
--- a/internal/steer/limit.go
+++ b/internal/steer/limit.go
@@ -47,20 +47,20 @@
 	reportedAt time.Time
 	// announced is when this instance last sent the limit to all others.
 	announced time.Time
-	// roomAt is when the next send is likely to be granted, by the newest answer of the granting instance.
-	roomAt time.Time
+	// availableAt is when the next send is likely to be granted, by the newest answer of the granting instance.
+	availableAt time.Time
 	// bucket paces the sends that this instance grants. Only the granting instance uses it.
 	bucket *rate.Limiter
 	// grants holds the time at which each granted job may be sent. These sends are already counted. Only the granting
 	// instance uses it.
 	grants map[jobKey]time.Time
-	// topValue is the highest value among the recent asks.
+	// topValue is the highest value among the recent grant requests.
 	topValue float64
 	// topValueAt is when topValue was set.
 	topValueAt time.Time
 	// topGrants counts the grants since the last one to a request below topValue.
 	topGrants int
-	// refusals counts the asks since the last grant that were refused because no send was available in time at all.
+	// refusals counts the grant requests refused since the last grant because no send was available in time at all.
 	refusals int
 	// used counts the sends of this instance since the limit was stated.
 	used int64
@@ -83,8 +83,8 @@
 	return lim.Replica != "" && lim.PerS >= 0 && lim.PerS <= maxPerS && lim.AgeMs >= 0
 }
 
-// answered applies what an answer states about its replica's limit.
-func (st *State) answered(ev ResponseReceived) {
+// responseReceived applies what an answer states about its replica's limit.
+func (st *State) responseReceived(ev ResponseReceived) {
 	rep, ok := st.replicas[ev.Replica]
 	if !ok || rep.Born != ev.Born {
 		return
@@ -108,26 +108,26 @@
 	}
 }
 
-// updateLimit applies the limit that the replica stated at the time heard, unless something newer is known. It reports
+// updateLimit applies the limit that the replica stated at the time reportedAt, unless something newer is known. It reports
 // whether the limit is new or has changed.
-func (st *State) updateLimit(rep *replica, perS float64, heard time.Time) bool {
-	if math.IsNaN(perS) || perS < 0 || !heard.After(rep.limitEnded) {
+func (st *State) updateLimit(rep *replica, perS float64, reportedAt time.Time) bool {
+	if math.IsNaN(perS) || perS < 0 || !reportedAt.After(rep.limitEnded) {
 		return false
 	}
 	if rep.limit == nil {
-		rep.limit = &rateLimit{perS: perS, reportedAt: heard, bucket: rate.NewLimiter(rate.Limit(perS), limitBurst), grants: map[jobKey]time.Time{}}
-		st.emit(LogLine{Message: "rate limit announced by replica", Replica: rep.Name, PerS: perS, Age: st.now.Sub(heard)})
+		rep.limit = &rateLimit{perS: perS, reportedAt: reportedAt, bucket: rate.NewLimiter(rate.Limit(perS), limitBurst), grants: map[jobKey]time.Time{}}
+		st.emit(LogLine{Message: "rate limit named", Replica: rep.Name, PerS: perS, Age: st.now.Sub(reportedAt)})
 		return true
 	}
-	if !heard.After(rep.limit.reportedAt) {
+	if !reportedAt.After(rep.limit.reportedAt) {
 		return false
 	}
-	rep.limit.reportedAt = heard
+	rep.limit.reportedAt = reportedAt
 	if rep.limit.perS == perS {
 		return false
 	}
 	rep.limit.perS = perS
-	st.emit(LogLine{Message: "rate limit changed", Replica: rep.Name, PerS: perS, Age: st.now.Sub(heard)})
+	st.emit(LogLine{Message: "rate limit changed", Replica: rep.Name, PerS: perS, Age: st.now.Sub(reportedAt)})
 	return true
 }
 
@@ -156,7 +156,7 @@
 	return millis(min(max(0, st.now.Sub(at)), maxLimitAge))
 }
 
-// maxLimitAge caps the age of a limit in a note. The cap is harmless, since receivers hold no information that is older.
+// maxLimitAge caps the age of a limit in a note. The cap is harmless, since recipients hold no information that is older.
 const maxLimitAge = time.Hour
 
 // sendLimit sends the limit to all instances that may use the replica, or only to the one that grants sends to it.
@@ -258,7 +258,7 @@
 		if rep.limit != nil {
 			rep.limit.used++
 		}
-		if i == 0 && req.ask.granter == st.Options.Name && req.ask.rep == rep {
+		if i == 0 && req.grant.granter == st.Options.Name && req.grant.rep == rep {
 			// The send was counted when it was granted.
 			continue
 		}
--- a/internal/steer/limit_test.go
+++ b/internal/steer/limit_test.go
@@ -142,7 +142,7 @@
 			case steer.Send:
 				sent++
 			case steer.SendNote:
-				asked += len(eff.Note.Asks)
+				asked += len(eff.Note.GrantRequests)
 			}
 		}
 	}
--- a/internal/steer/limit_world_test.go
+++ b/internal/steer/limit_world_test.go
@@ -185,7 +185,7 @@
 	for _, eff := range slices.Clone(node.st.Reduce(lw.now, ev)) {
 		switch eff := eff.(type) {
 		case steer.SendNote:
-			lw.tell(node, eff)
+			lw.sendNote(node, eff)
 		case steer.Wake:
 			lw.inRun(node, eff.After, func() { lw.reduce(node, steer.Ticked{}) })
 		case steer.Send:
@@ -207,7 +207,7 @@
 	}
 }
 
-func (lw *limitWorld) tell(from *limitNode, eff steer.SendNote) {
+func (lw *limitWorld) sendNote(from *limitNode, eff steer.SendNote) {
 	for _, node := range lw.nodes {
 		if node == from || eff.To != nil && !slices.Contains(eff.To, node.name) {
 			continue
--- a/internal/steer/list.go
+++ b/internal/steer/list.go
@@ -25,8 +25,8 @@
 	st.dispatch()
 }
 
-// relisted applies the changes of the list. Its cost grows with the changes, not with the number of replicas.
-func (st *State) relisted(ev ListChanged) {
+// listChanged applies the changes of the list. Its cost grows with the changes, not with the number of replicas.
+func (st *State) listChanged(ev ListChanged) {
 	for _, item := range ev.Replicas {
 		st.register(item)
 	}
@@ -70,12 +70,12 @@
 	st.emit(LogLine{Message: "replica joins", Replica: rep.Name})
 }
 
-// removeMissing removes a replica that the list omits. If away is set, the list's store was out of reach until now:
+// removeMissing removes a replica that the list omits. If afterOutage is set, the list's store was unavailable until now:
 // entries of live replicas may be missing until these have written them again, so such replicas stay in use for
 // Options.MissingTime.
-func (st *State) removeMissing(name string, rep *replica, away bool) {
+func (st *State) removeMissing(name string, rep *replica, afterOutage bool) {
 	until, waits := st.missing[name]
-	if away && !waits {
+	if afterOutage && !waits {
 		st.missing[name] = st.now.Add(st.Options.MissingTime)
 		return
 	}
@@ -95,8 +95,8 @@
 	svc.resetLayout()
 }
 
-// dropExpired drops what has expired: missing replicas whose time has passed, removed ones without work, silent peers and old
-// grants.
+// dropExpired drops what has expired: missing replicas whose time has passed, removed ones without work, timed-out peers
+// and old grants.
 func (st *State) dropExpired() {
 	for name, until := range st.missing {
 		if rep, ok := st.replicas[name]; ok && !st.now.Before(until) {
@@ -108,6 +108,6 @@
 			delete(st.replicas, name)
 		}
 	}
-	st.forgetPeers()
-	st.forgetGrants()
+	st.dropExpiredPeers()
+	st.dropExpiredGrants()
 }
--- a/internal/steer/loadquery.go
+++ b/internal/steer/loadquery.go
@@ -8,8 +8,8 @@
 // Load queries after a restart of all instances. If all instances fail at once, the engines go on generating answers for
 // the dead ones. Restarted instances that took the engines for idle would overload them just when the callers of the last
 // seconds all retry. So if no longer-running instance is known, one of those that started together queries the engines for
-// their load once and tells the others. The queries are made by the first instance by name of those that use the replica and
-// are known. Where an instance has survived, its notes contain the whole load.
+// their load once and informs the others. Each engine is queried by the first by name of the known instances that use it.
+// Where an instance has survived, its notes contain the whole load.
 
 const (
 	// loadQueryDelay is how long an instance waits for notes of others before it queries.
@@ -17,7 +17,7 @@
 	// sameStartTolerance is the largest difference in uptime of instances that count as started together.
 	sameStartTolerance = 1500 * time.Millisecond
 	// loadReportPrefix begins the name of the pseudo-instance under which an engine's reported load is booked. It sends nothing
-	// more, so it is dropped after peerSilence. By then most answers for dead instances have ended.
+	// more, so it is dropped after peerTimeout. By then most answers for dead instances have ended.
 	loadReportPrefix = "survey/"
 	// maxReportedRequests bounds the requests that are booked from one report.
 	maxReportedRequests = 256
@@ -59,21 +59,21 @@
 // hasOlderPeer reports whether a longer-running instance is known. Its notes contain the load that it has sent.
 func (st *State) hasOlderPeer() bool {
 	for _, pr := range st.peers {
-		if pr.up > st.up()+sameStartTolerance.Milliseconds() {
+		if pr.uptimeMs > st.uptimeMs()+sameStartTolerance.Milliseconds() {
 			return true
 		}
 	}
 	return false
 }
 
-// isRedundantReport reports whether the note must be ignored: it is a load report, and a longer-running instance, this one or a peer,
-// has announced the same load. Counted twice, half-full engines would look full and callers be refused for peerSilence. A
-// note from a longer-running peer also drops the load reports booked so far.
+// isRedundantReport reports whether the note must be ignored: it is a load report, and a longer-running instance, this one
+// or a peer, has announced the same load. Counted twice, half-full engines would look full and callers would be refused for
+// peerTimeout. A note from a longer-running peer also drops the load reports booked so far.
 func (st *State) isRedundantReport(nt *Note) bool {
 	if isLoadReport(nt.From) {
-		return st.up() > nt.UptimeMs+sameStartTolerance.Milliseconds() || st.hasOlderPeer()
+		return st.uptimeMs() > nt.UptimeMs+sameStartTolerance.Milliseconds() || st.hasOlderPeer()
 	}
-	if nt.UptimeMs > st.up()+sameStartTolerance.Milliseconds() {
+	if nt.UptimeMs > st.uptimeMs()+sameStartTolerance.Milliseconds() {
 		st.dropLoadReports()
 	}
 	return false
@@ -102,7 +102,7 @@
 	if unknown <= 0 {
 		return
 	}
-	nt := Note{From: loadReportPrefix + ev.Replica, Run: st.Options.Run, UptimeMs: st.up(), Full: true}
+	nt := Note{From: loadReportPrefix + ev.Replica, Run: st.Options.Run, UptimeMs: st.uptimeMs(), Full: true}
 	for id := range unknown {
 		nt.OpenJobs = append(nt.OpenJobs, JobID(id))
 		nt.Jobs = append(nt.Jobs, Job{ID: JobID(id), Replicas: []string{ev.Replica}, Prompt: max(0, ev.Used) / int64(ev.Running), Begun: true})
--- a/internal/steer/note.go
+++ b/internal/steer/note.go
@@ -1,17 +1,18 @@
 package steer
 
 // Note is a message in which one instance reports its own work to the others, so that each knows the load of every engine
-// without polling the engines. The next note with Whole set repairs what a lost note would have reported.
+// without polling the engines. The next note with Full set repairs what a lost note would have reported.
 type Note struct {
-	// From is the name of the sending instance, or in a report of an engine's own load surveyName and the replica's name.
+	// From is the name of the sending instance, or in a report of an engine's own load loadReportPrefix and the replica's
+	// name.
 	From string `cbor:"1,keyasint,omitempty"`
 	// Run distinguishes the runs of that instance.
 	Run int64 `cbor:"2,keyasint,omitempty"`
 	// UptimeMs is the uptime of the run in ms.
 	UptimeMs int64 `cbor:"3,keyasint,omitempty"`
-	// Full reports that Kept lists all jobs of the instance, so that any other job of it has ended.
+	// Full reports that OpenJobs lists all jobs of the instance, so that any other job of it has ended.
 	Full bool `cbor:"4,keyasint,omitempty"`
-	// OpenJobs lists the jobs of the instance that have not ended, if Whole is set.
+	// OpenJobs lists the jobs of the instance that have not ended, if Full is set.
 	OpenJobs []JobID `cbor:"5,keyasint,omitempty"`
 	// Jobs describes new jobs and, in a summary, jobs that have not ended.
 	Jobs []Job `cbor:"6,keyasint,omitempty"`
@@ -29,13 +30,13 @@
 	Paces []Pace `cbor:"12,keyasint,omitempty"`
 	// Waiting is the number of requests that wait for a replica at the instance.
 	Waiting int `cbor:"13,keyasint,omitempty"`
-	// Demand is the work that callers requested of the engines through the instance. Only notes with Whole set carry it.
+	// Demand is the work that callers requested of the engines through the instance. Only notes with Full set carry it.
 	Demand Demand `cbor:"14,keyasint,omitempty"`
 	// Limits reports the rate limits of replicas.
 	Limits []Limit `cbor:"15,keyasint,omitempty"`
-	// Asks requests sends to rate-limited replicas.
-	Asks []Ask `cbor:"16,keyasint,omitempty"`
-	// Grants answers Asks.
+	// GrantRequests asks the recipient for sends to rate-limited replicas.
+	GrantRequests []GrantRequest `cbor:"16,keyasint,omitempty"`
+	// Grants answers the recipient's GrantRequests.
 	Grants []Grant `cbor:"17,keyasint,omitempty"`
 }
 
@@ -93,8 +94,8 @@
 			return false
 		}
 	}
-	for i := range nt.Asks {
-		if !nt.Asks[i].valid() {
+	for i := range nt.GrantRequests {
+		if !nt.GrantRequests[i].valid() {
 			return false
 		}
 	}
--- a/internal/steer/pace.go
+++ b/internal/steer/pace.go
@@ -57,7 +57,7 @@
 
 // announcePace informs the instances that use the replica how slow it is.
 func (st *State) announcePace(rep *replica) {
-	st.emit(LogLine{Message: "replica slowdown changed", Replica: rep.Name, Times: rep.slow})
+	st.emit(LogLine{Message: "pace changed", Replica: rep.Name, Times: rep.slow})
 	sub := st.audience(rep)
 	pend := st.pendingFor(sub, st.sendDelay(sub, maxBatchDelay))
 	pend.note.Paces = append(pend.note.Paces, Pace{Replica: rep.Name, Times: float32(rep.slow)})
@@ -72,8 +72,8 @@
 	}
 }
 
-// forgetPace halves the slowdown, beyond the factor of 1, of a replica that has not been observed for paceDecayInterval.
-func (rep *replica) forgetPace(now time.Time) {
+// decayPace halves the slowdown, beyond the factor of 1, of a replica that has not been observed for paceDecayInterval.
+func (rep *replica) decayPace(now time.Time) {
 	if rep.slow > 1 && now.Sub(rep.slowSeenAt) > paceDecayInterval {
 		rep.slow = 1 + (rep.slow-1)/2
 		rep.announcedSlow = rep.slow
--- a/internal/steer/pace_test.go
+++ b/internal/steer/pace_test.go
@@ -35,8 +35,8 @@
 	var announced []Pace
 	for range 6 {
 		now = now.Add(pass)
-		for _, tell := range tells(st, now, Progressed{ID: 1, Attempt: 1, Pause: pass}) {
-			announced = append(announced, tell.Note.Paces...)
+		for _, sent := range sentNotes(st, now, Progressed{ID: 1, Attempt: 1, Pause: pass}) {
+			announced = append(announced, sent.Note.Paces...)
 		}
 	}
 	assert.Assert(t, rep.slow > 3 && rep.slow <= 4, rep.slow)
--- a/internal/steer/pass.go
+++ b/internal/steer/pass.go
@@ -19,12 +19,12 @@
 type stage int
 
 const (
-	// stageWaits is a part that no pass has begun to read, or that passes have read only in part.
-	stageWaits stage = iota
-	// stageReads is a part that the current pass reads.
-	stageReads
-	// stageRead is a part that is read, whose answer begins when the parts of others are.
-	stageRead
+	// stageWaiting is a part that no pass has begun to read, or that passes have read only in part.
+	stageWaiting stage = iota
+	// stageReading is a part that the current pass reads.
+	stageReading
+	// stageDone is a part that is read, whose answer begins when the parts of others are.
+	stageDone
 )
 
 const (
@@ -57,7 +57,7 @@
 func (rep *replica) writing(now bool) (count int, contexts int64) {
 	for i := range rep.works {
 		wk := &rep.works[i]
-		if wk.first && (wk.begun || !now && wk.stage != stageWaits) {
+		if wk.first && (wk.begun || !now && wk.stage != stageWaiting) {
 			count++
 			contexts += wk.context
 		}
@@ -85,7 +85,7 @@
 func (rep *replica) overdue() bool {
 	for i := range rep.works {
 		wk := &rep.works[i]
-		if wk.stage == stageReads && wk.first && wk.alone && !wk.begun && wk.passShare >= 1-negligibleShare {
+		if wk.stage == stageReading && wk.first && wk.alone && !wk.begun && wk.passShare >= 1-negligibleShare {
 			return true
 		}
 	}
@@ -106,7 +106,7 @@
 
 // reads reports whether anything is being read or waits to be read.
 func (rep *replica) reads() bool {
-	return slices.ContainsFunc(rep.works, func(wk work) bool { return !wk.begun && wk.stage != stageRead })
+	return slices.ContainsFunc(rep.works, func(wk work) bool { return !wk.begun && wk.stage != stageDone })
 }
 
 // startPass begins a pass with everything that waits. The parts of prompts that other engines answer come first, the
@@ -126,10 +126,10 @@
 			if helping {
 				wk = &rep.works[len(rep.works)-1-i]
 			}
-			if wk.first == helping || wk.begun || wk.stage != stageWaits || budget <= 0 {
+			if wk.first == helping || wk.begun || wk.stage != stageWaiting || budget <= 0 {
 				continue
 			}
-			wk.stage = stageReads
+			wk.stage = stageReading
 			wk.passShare = 1
 			if wk.left.Steps > budget {
 				wk.passShare = budget / wk.left.Steps
@@ -156,20 +156,20 @@
 func (rep *replica) endPass() {
 	for i := range rep.works {
 		wk := &rep.works[i]
-		if wk.stage != stageReads {
+		if wk.stage != stageReading {
 			continue
 		}
 		wk.left = wk.left.Times(1 - wk.passShare)
-		wk.stage = stageWaits
+		wk.stage = stageWaiting
 		if wk.passShare >= 1-negligibleShare {
 			wk.left = decl.Reading{}
-			wk.stage = stageRead
+			wk.stage = stageDone
 		}
 	}
 }
 
-// observePassEnd records that a pass has ended, as an answer that begins or an event of a stream shows. It ignores those that
-// belong to the end of the pass before.
+// observePassEnd records that a pass has ended, as an answer that begins or an event of a stream shows. It ignores those
+// that belong to the end of the pass before.
 func (rep *replica) observePassEnd(eng *decl.Engine, now time.Time) {
 	if !rep.passes.idle() && now.Sub(rep.passes.from) < sameBoundary {
 		return
@@ -196,67 +196,67 @@
 
 // forecast estimates what follows the current pass.
 func (rep *replica) forecast(eng *decl.Engine, tune *Tuning, now time.Time) forecast {
-	rep.forgetPace(now)
+	rep.decayPace(now)
 	rep.advance(eng, tune, now)
-	out := forecast{slow: rep.slow}
+	fc := forecast{slow: rep.slow}
 	if !rep.passes.idle() {
-		out.left = ms(rep.passes.end.Sub(now))
+		fc.left = ms(rep.passes.end.Sub(now))
 	}
 	for i := range rep.works {
 		wk := &rep.works[i]
 		switch {
-		case wk.begun || wk.stage == stageRead:
-		case wk.stage == stageWaits:
-			out.waits = out.waits.Plus(wk.left)
+		case wk.begun || wk.stage == stageDone:
+		case wk.stage == stageWaiting:
+			fc.waits = fc.waits.Plus(wk.left)
 		default:
-			out.readingInPass += wk.left.Time * wk.passShare
-			out.waits = out.waits.Plus(wk.left.Times(1 - wk.passShare))
+			fc.readingInPass += wk.left.Time * wk.passShare
+			fc.waits = fc.waits.Plus(wk.left.Times(1 - wk.passShare))
 		}
 	}
 	writers, contexts := rep.writing(false)
-	out.step = eng.StepTime(max(1, writers), contexts)
+	fc.step = eng.StepTime(max(1, writers), contexts)
 	if writers > 0 {
-		out.stride = float64(eng.Stride)
+		fc.stride = float64(eng.Stride)
 	}
-	return out
+	return fc
 }
 
 // backlog is the reading in ms that is in progress or waits.
-func (out *forecast) backlog() float64 {
-	return min(out.left, out.readingInPass*out.slow) + out.waits.Time*out.slow
+func (fc *forecast) backlog() float64 {
+	return min(fc.left, fc.readingInPass*fc.slow) + fc.waits.Time*fc.slow
 }
 
-// firstEvent is the time in ms until the firstEvent event of a request with the reading.
-func (out *forecast) firstEvent(rd decl.Reading) float64 {
-	all := out.waits.Plus(rd)
-	if out.stride == 0 {
-		return out.left + out.slow*(all.Time+(all.Steps+1)*out.step)
+// firstEvent is the time in ms until the first event of a request with the reading.
+func (fc *forecast) firstEvent(rd decl.Reading) float64 {
+	all := fc.waits.Plus(rd)
+	if fc.stride == 0 {
+		return fc.left + fc.slow*(all.Time+(all.Steps+1)*fc.step)
 	}
-	count := math.Ceil(max(negligibleShare, all.Steps/out.stride))
-	return out.left + out.slow*(all.Time+count*out.stride*out.step)
+	count := math.Ceil(max(negligibleShare, all.Steps/fc.stride))
+	return fc.left + fc.slow*(all.Time+count*fc.stride*fc.step)
 }
 
 // partRead is the time in ms until a part of a prompt is read that another engine answers.
-func (out *forecast) partRead(rd decl.Reading) float64 {
-	if out.stride == 0 {
-		return out.left + out.slow*(rd.Time+(rd.Steps+1)*out.step)
+func (fc *forecast) partRead(rd decl.Reading) float64 {
+	if fc.stride == 0 {
+		return fc.left + fc.slow*(rd.Time+(rd.Steps+1)*fc.step)
 	}
-	count := math.Ceil(max(negligibleShare, rd.Steps/out.stride))
+	count := math.Ceil(max(negligibleShare, rd.Steps/fc.stride))
 	beside := 0.0
-	if out.waits.Steps > 0 {
-		beside = out.waits.Time * min(1, max(0, count*out.stride-rd.Steps)/out.waits.Steps)
+	if fc.waits.Steps > 0 {
+		beside = fc.waits.Time * min(1, max(0, count*fc.stride-rd.Steps)/fc.waits.Steps)
 	}
-	return out.left + out.slow*(rd.Time+beside+count*out.stride*out.step)
+	return fc.left + fc.slow*(rd.Time+beside+count*fc.stride*fc.step)
 }
 
 // pause is the longest of the next passes in ms if the reading is added to what waits, 0 if no request writes.
-func (out *forecast) pause(rd decl.Reading) float64 {
-	if out.stride == 0 {
+func (fc *forecast) pause(rd decl.Reading) float64 {
+	if fc.stride == 0 {
 		return 0
 	}
-	all := out.waits.Plus(rd)
-	if all.Steps > out.stride {
-		all = all.Times(out.stride / all.Steps)
+	all := fc.waits.Plus(rd)
+	if all.Steps > fc.stride {
+		all = all.Times(fc.stride / all.Steps)
 	}
-	return out.slow * (all.Time + out.stride*out.step)
+	return fc.slow * (all.Time + fc.stride*fc.step)
 }
--- a/internal/steer/peer.go
+++ b/internal/steer/peer.go
@@ -9,10 +9,10 @@
 // peer is another instance and its work, as its notes reported it.
 type peer struct {
 	run int64
-	// up is the uptime of the run in ms, as of the newest note.
-	up int64
-	// heardAt is when the newest note arrived.
-	heardAt time.Time
+	// uptimeMs is the uptime of the run in ms, as of the newest note.
+	uptimeMs int64
+	// lastNoteAt is when the newest note arrived.
+	lastNoteAt time.Time
 	// jobs holds the known replicas of each job that has not ended.
 	jobs map[JobID][]*replica
 	// ended holds when the end of each recent job was reported.
@@ -35,13 +35,13 @@
 func (st *State) note(nt Note) Note {
 	nt.From = st.Options.Name
 	nt.Run = st.Options.Run
-	nt.UptimeMs = st.up()
+	nt.UptimeMs = st.uptimeMs()
 	nt.Waiting = len(st.waiting)
 	return nt
 }
 
-// up returns the uptime of this run in ms.
-func (st *State) up() int64 {
+// uptimeMs returns the uptime of this run in ms.
+func (st *State) uptimeMs() int64 {
 	if st.startedAt.IsZero() {
 		return 0
 	}
@@ -49,7 +49,7 @@
 }
 
 // idleSummaryInterval is the interval, in summaries, at which an instance without jobs sends one. It is short enough that
-// the loss of one summary does not make the instance count as silent.
+// the loss of one summary does not exceed peerTimeout.
 const idleSummaryInterval = 2
 
 // maxSummaryJobs is the maximum number of jobs, or of limits, in a summary note. A note must fit into a datagram, and a job
@@ -119,8 +119,8 @@
 		return
 	}
 	pr := st.peerOf(nt)
-	pr.heardAt = st.now
-	pr.up = nt.UptimeMs
+	pr.lastNoteAt = st.now
+	pr.uptimeMs = nt.UptimeMs
 	pr.waiting = max(0, nt.Waiting)
 	if nt.Full {
 		st.endUnkeptJobs(nt, pr)
@@ -145,7 +145,7 @@
 	for i := range nt.Limits {
 		st.receiveLimit(&nt.Limits[i])
 	}
-	st.receiveAsks(nt.From, nt.Asks)
+	st.receiveGrantRequests(nt.From, nt.GrantRequests)
 	st.receiveGrants(nt.Grants)
 	for _, pace := range nt.Paces {
 		st.applyPace(pace)
@@ -220,10 +220,10 @@
 	delete(st.peers, from)
 }
 
-// forgetPeers drops the instances from which no note arrived for peerSilence.
-func (st *State) forgetPeers() {
+// dropExpiredPeers drops the instances from which no note arrived for peerTimeout.
+func (st *State) dropExpiredPeers() {
 	for from, pr := range st.peers {
-		if st.now.Sub(pr.heardAt) > peerTimeout {
+		if st.now.Sub(pr.lastNoteAt) > peerTimeout {
 			st.dropPeer(from, pr)
 		}
 	}
--- a/internal/steer/place.go
+++ b/internal/steer/place.go
@@ -104,7 +104,7 @@
 	canAnswer bool
 	// freeTokens is the free memory in tokens.
 	freeTokens int64
-	// limited is set while the engine names a rate limit. Each part of a prompt and each order for its memory would
+	// limited is set while the engine states a rate limit. Each part of a prompt and each order for its memory would
 	// count against that limit, so the engine helps with no prompt.
 	limited bool
 }
@@ -198,9 +198,9 @@
 		pl.cost += quotes[i].harm
 		pl.first = max(pl.first, quotes[i].helperTime)
 		if missing > 0 {
-			ticket := min(missing, quotes[i].freeTokens)
-			pl.reservations = append(pl.reservations, ticket)
-			missing -= ticket
+			reserved := min(missing, quotes[i].freeTokens)
+			pl.reservations = append(pl.reservations, reserved)
+			missing -= reserved
 		}
 	}
 	if missing > 0 {
@@ -218,7 +218,7 @@
 func (st *State) engines(svc *service, req *request) []candidate {
 	replicas := st.candidates(svc)
 	engines := make([]candidate, 0, len(replicas))
-	rivals := st.waitingRequests(svc)
+	waiting := st.waitingRequests(svc)
 	for _, rep := range replicas {
 		if !rep.usable(st.now) || slices.Contains(req.tried, rep.Name) {
 			continue
@@ -229,7 +229,7 @@
 		}
 		cand := st.candidateOf(svc, req, rep)
 		cand.estimate.left += ms(wait)
-		cand.canAnswer = rep.running() < svc.engine.Slots && st.mayTakeSlot(rep, req, rivals)
+		cand.canAnswer = rep.running() < svc.engine.Slots && st.mayTakeSlot(rep, req, waiting)
 		engines = append(engines, cand)
 	}
 	return engines
@@ -279,13 +279,13 @@
 // readsLong reports whether the replica is reading a long prompt, or a part of one, and will not be done soon. An engine
 // reads the newest part before all others, so a sequence of new parts would hold back the earlier ones until the load
 // falls. Requests that wait at the instance keep their order.
-func (st *State) readsLong(rep *replica, out *forecast) bool {
+func (st *State) readsLong(rep *replica, fc *forecast) bool {
 	for i := range rep.works {
 		wk := &rep.works[i]
-		if !wk.long || wk.begun || !wk.first && wk.stage == stageRead {
+		if !wk.long || wk.begun || !wk.first && wk.stage == stageDone {
 			continue
 		}
-		if wk.first || wk.stage == stageWaits || wk.passShare < 1 || out.left > 0 {
+		if wk.first || wk.stage == stageWaiting || wk.passShare < 1 || fc.left > 0 {
 			return true
 		}
 	}
--- a/internal/steer/place_test.go
+++ b/internal/steer/place_test.go
@@ -80,7 +80,7 @@
 	assert.Equal(t, len(sent.Helpers), 0)
 }
 
-func TestWorkOfSilentInstanceExpires(t *testing.T) {
+func TestWorkOfTimedOutInstanceExpires(t *testing.T) {
 	// An instance dies with work in progress, which its engines drop with its connections. Guards against counting that
 	// work any longer than a few seconds.
 	in := newInstance(t, "one", 1)
@@ -139,8 +139,8 @@
 }
 
 func TestRequestWithoutReplicaIsRefusedEarly(t *testing.T) {
-	// No engine has room. A caller at its first try must be told early when to retry, within the share of its time that
-	// callers wait when asked to. A caller that retries has no further try, so its request keeps waiting.
+	// No engine has room. A caller at its first try must be refused early with a retry time, within the share of its
+	// time that callers wait when asked to. A caller that retries has no further try, so its request keeps waiting.
 	in := newInstance(t, "one", 0)
 	none[steer.Finish](t, in.arrive(&short, 5000))
 	fin := find[steer.Finish](t, in.advance(250*time.Millisecond))
--- a/internal/steer/price.go
+++ b/internal/steer/price.go
@@ -22,8 +22,8 @@
 	Value float32 `cbor:"1,keyasint,omitempty"`
 	// Reading is the time in s that one engine would take to read the prompts.
 	Reading float32 `cbor:"2,keyasint,omitempty"`
-	// Room is the sum over the prompts of their reading time in s times the time in s until their goal.
-	Room float32 `cbor:"3,keyasint,omitempty"`
+	// WeightedGoal is the sum over the prompts of their reading time in s times the time in s until their goal.
+	WeightedGoal float32 `cbor:"3,keyasint,omitempty"`
 }
 
 const (
@@ -41,7 +41,7 @@
 
 // plus returns the sum of both.
 func (dm Demand) plus(other Demand) Demand {
-	return Demand{Value: dm.Value + other.Value, Reading: dm.Reading + other.Reading, Room: dm.Room + other.Room}
+	return Demand{Value: dm.Value + other.Value, Reading: dm.Reading + other.Reading, WeightedGoal: dm.WeightedGoal + other.WeightedGoal}
 }
 
 // valuePerReading is the value for each second of reading.
@@ -51,12 +51,12 @@
 
 // meanGoal is the time in s until the goal of the mean second of reading.
 func (dm Demand) meanGoal() float64 {
-	return (float64(dm.Room) + priorGoal*priorReading) / (float64(dm.Reading) + priorReading)
+	return (float64(dm.WeightedGoal) + priorGoal*priorReading) / (float64(dm.Reading) + priorReading)
 }
 
 // valid reports whether the figures of a received demand are finite and not negative.
 func (dm Demand) valid() bool {
-	for _, figure := range []float32{dm.Value, dm.Reading, dm.Room} {
+	for _, figure := range []float32{dm.Value, dm.Reading, dm.WeightedGoal} {
 		if !(figure >= 0 && figure <= math.MaxFloat32) {
 			return false
 		}
@@ -76,7 +76,7 @@
 		keep := float32(math.Exp(-now.Sub(mt.at).Seconds() / demandTimeConstant.Seconds()))
 		mt.Value *= keep
 		mt.Reading *= keep
-		mt.Room *= keep
+		mt.WeightedGoal *= keep
 	}
 	mt.at = now
 	return mt.Demand
@@ -87,7 +87,7 @@
 	reading := eng.Reading(req.Prompt, 1).Alone(eng) / 1000
 	st.demand.decayed(st.now)
 	st.demand.Demand = st.demand.plus(Demand{
-		Value: float32(req.value), Reading: float32(reading), Room: float32(reading * req.Route.Goal.Std().Seconds()),
+		Value: float32(req.value), Reading: float32(reading), WeightedGoal: float32(reading * req.Route.Goal.Std().Seconds()),
 	})
 }
 
--- a/internal/steer/price_test.go
+++ b/internal/steer/price_test.go
@@ -9,8 +9,8 @@
 	"dandelionsail.example/dandelionsail/internal/steer"
 )
 
-// hearDemand sends the instance a note with the demand at another one.
-func (in *instance) hearDemand(dm steer.Demand) {
+// receiveDemand sends the instance a note with the demand at another one.
+func (in *instance) receiveDemand(dm steer.Demand) {
 	in.reduce(steer.NoteReceived{Note: steer.Note{From: "two", Run: 1, Full: true, Demand: dm}})
 	in.reduce(steer.Summarized{})
 }
@@ -34,13 +34,13 @@
 		demand steer.Demand
 		sent   bool
 	}{
-		"low value for each second of reading":  {steer.Demand{Value: 400, Reading: 400, Room: 2400}, true},
-		"high value for each second of reading": {steer.Demand{Value: 16_000, Reading: 400, Room: 400}, false},
+		"low value for each second of reading":  {steer.Demand{Value: 400, Reading: 400, WeightedGoal: 2400}, true},
+		"high value for each second of reading": {steer.Demand{Value: 16_000, Reading: 400, WeightedGoal: 400}, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			in := newInstance(t, "one", 8)
-			in.hearDemand(tc.demand)
+			in.receiveDemand(tc.demand)
 			in.occupyAllButTwo(8)
 			sends := 0
 			for _, eff := range in.arrive(&long, 100_000) {
@@ -57,13 +57,13 @@
 	// Guards against notes of another version or sender that would set the price of engine time to zero or infinity.
 	cases := map[string]steer.Demand{
 		"negative":     {Value: -1e6, Reading: 1},
-		"not a number": {Value: float32(math.NaN()), Reading: 1, Room: 1},
-		"infinite":     {Value: float32(math.Inf(1)), Reading: 1, Room: 1},
+		"not a number": {Value: float32(math.NaN()), Reading: 1, WeightedGoal: 1},
+		"infinite":     {Value: float32(math.Inf(1)), Reading: 1, WeightedGoal: 1},
 	}
 	for name, dm := range cases {
 		t.Run(name, func(t *testing.T) {
 			in := newInstance(t, "one", 8)
-			in.hearDemand(dm)
+			in.receiveDemand(dm)
 			find[steer.Send](t, in.arrive(&long, 154_000))
 		})
 	}
--- a/internal/steer/queue.go
+++ b/internal/steer/queue.go
@@ -43,21 +43,21 @@
 // tooLate reports whether the answer can hardly begin by the request's goal any more.
 func (st *State) tooLate(req *request) bool { return st.misses(req, req.goal) }
 
-// misses reports whether less than Tuning.LastCall of the route's goal is left until the given goal.
+// misses reports whether less than Tuning.LateGoalShare of the route's goal is left until the given goal.
 func (st *State) misses(req *request, goal time.Time) bool {
-	return ms(goal.Sub(st.now)) < st.tune.LastCall*ms(req.Route.Goal.Std())
+	return ms(goal.Sub(st.now)) < st.tune.LateGoalShare*ms(req.Route.Goal.Std())
 }
 
 func (st *State) trySend(req *request) bool {
-	if req.ask.rep != nil {
-		return st.followAsk(req)
+	if req.grant.rep != nil {
+		return st.followGrant(req)
 	}
 	pl, ok := st.place(req)
 	if !ok {
 		return false
 	}
 	if pl.reps[0].limit != nil {
-		return st.askToSend(req, pl.reps[0])
+		return st.requestGrant(req, pl.reps[0])
 	}
 	req.claiming = st.contested(&pl)
 	st.book(req, pl)
@@ -72,7 +72,7 @@
 
 // expire refuses requests that have waited for too long: those whose caller would leave before any answer, and those
 // that would be late and whose caller can retry once more, so that the callers learn now when to retry. It also refuses
-// those that rate limits keep waiting for too long and, from Draining.Hold on, all that wait.
+// those that rate limits keep waiting for too long and, from Draining.RefuseWaitingAt on, all that wait.
 func (st *State) expire() {
 	var expired, outOfTime, draining, limited []*request
 	for _, req := range st.waiting {
@@ -89,7 +89,7 @@
 		}
 	}
 	for _, req := range expired {
-		st.refuse(req, ReasonDeadline, busyRetryDelay)
+		st.refuse(req, ReasonDeadline, busyRetryAfter)
 	}
 	for _, req := range outOfTime {
 		st.refuse(req, ReasonBusy, st.retryAfter(req))
@@ -99,7 +99,7 @@
 		st.refuse(req, ReasonLimited, st.retryAfterLimit(req, first))
 	}
 	for _, req := range draining {
-		st.refuse(req, ReasonDraining, drainRetryDelay)
+		st.refuse(req, ReasonDraining, drainRetryAfter)
 	}
 }
 
@@ -118,25 +118,25 @@
 	if req.begun || req.attempt == 0 && !req.triedBefore || req.attempt > 0 && st.serviceOf(req.service).engine == nil {
 		return false
 	}
-	given := req.StatedTimeout
-	if given == 0 {
-		given = req.Deadline.Sub(req.at)
+	timeout := req.StatedTimeout
+	if timeout == 0 {
+		timeout = req.Deadline.Sub(req.at)
 	}
-	return st.now.Sub(req.waitingSince) > time.Duration(st.tune.MaxRewaitShare*float64(given))
+	return st.now.Sub(req.waitingSince) > time.Duration(st.tune.MaxRewaitShare*float64(timeout))
 }
 
 // detectRetry detects a caller's retry: it has less time than any caller of its route has at its first try. Its goal
 // counts from the first try, which was at least as long ago as its time is short. The caller may have no further try, so
 // the request waits for as long as it can.
 func (st *State) detectRetry(req *request) {
-	full := max(st.longestTimeouts[req.Route.Name], req.StatedTimeout)
-	st.longestTimeouts[req.Route.Name] = full
-	minGiven := time.Duration(st.tune.MinFirstTryShare * float64(full))
-	if req.StatedTimeout == 0 || req.StatedTimeout >= minGiven {
+	longest := max(st.longestTimeouts[req.Route.Name], req.StatedTimeout)
+	st.longestTimeouts[req.Route.Name] = longest
+	minTimeout := time.Duration(st.tune.MinFirstTryShare * float64(longest))
+	if req.StatedTimeout == 0 || req.StatedTimeout >= minTimeout {
 		return
 	}
 	req.triedBefore = true
-	req.goal = req.goal.Add(req.StatedTimeout - minGiven)
+	req.goal = req.goal.Add(req.StatedTimeout - minTimeout)
 	st.markLate(req)
 }
 
@@ -172,10 +172,10 @@
 	return duration(svc.engine.Reading(req.Prompt, engines).Alone(svc.engine))
 }
 
-// retryAfter is when the caller of a refused request should retry, within the time for which callers wait when told to.
+// retryAfter is when the caller of a refused request should retry, within the time for which callers wait when asked to.
 // It spreads the callers over the time in which the backlog falls, so that they do not return together.
 func (st *State) retryAfter(req *request) time.Duration {
-	after := busyRetryDelay + duration(st.meanBacklog(st.serviceOf(req.service))*1000) + time.Duration(st.random.Int64N(int64(retrySpread)))
+	after := busyRetryAfter + duration(st.meanBacklog(st.serviceOf(req.service))*1000) + time.Duration(st.random.Int64N(int64(retrySpread)))
 	longest := time.Duration(st.tune.PatientShare * float64(req.Deadline.Sub(st.now)))
 	return min(after, max(longest, time.Millisecond))
 }
--- a/internal/steer/queue_test.go
+++ b/internal/steer/queue_test.go
@@ -23,7 +23,7 @@
 	in := newInstance(t, "one", 4)
 	route := long
 	route.Goal = seconds(1)
-	in.hearDemand(steer.Demand{Value: 40_000, Reading: 400, Room: 400})
+	in.receiveDemand(steer.Demand{Value: 40_000, Reading: 400, WeightedGoal: 400})
 	in.occupyAllButTwo(6)
 	none[steer.Send](t, in.arrive(&route, 400_000))
 	fin := find[steer.Finish](t, in.advance(700*time.Millisecond))
--- a/internal/steer/replica.go
+++ b/internal/steer/replica.go
@@ -66,7 +66,7 @@
 	failures int
 	// downUntil is the end of the last pause that failures caused.
 	downUntil time.Time
-	// limit is nil while the replica names no rate limit.
+	// limit is nil while the replica states no rate limit.
 	limit *rateLimit
 	// limitEnded is when the last limit was known to be over.
 	limitEnded time.Time
@@ -149,7 +149,7 @@
 	}
 	wk := &rep.works[i]
 	wk.begun = true
-	wk.stage = stageRead
+	wk.stage = stageDone
 	if live && wk.first && eng != nil {
 		rep.observePassEnd(eng, now)
 	}
@@ -161,7 +161,7 @@
 	if i < 0 {
 		return
 	}
-	if wk := &rep.works[i]; wk.stage == stageReads && !wk.begun {
+	if wk := &rep.works[i]; wk.stage == stageReading && !wk.begun {
 		end := rep.passes.end.Add(-duration(wk.left.Time * wk.passShare * rep.slow))
 		rep.passes.end = later(now, end)
 	}
--- a/internal/steer/retry.go
+++ b/internal/steer/retry.go
@@ -29,7 +29,7 @@
 	case ev.Result == ResultDone:
 		st.finish(req, Finish{ID: req.ID}, "answered")
 	case st.drain != nil && !st.now.Before(st.drain.AbortAt):
-		st.refuse(req, ReasonDraining, drainRetryDelay)
+		st.refuse(req, ReasonDraining, drainRetryAfter)
 	case req.disconnected || ev.Result == ResultCancelled:
 		st.finish(req, Finish{ID: req.ID}, "caller left")
 	default:
@@ -59,7 +59,7 @@
 	}
 }
 
-// markDown takes the replica out of rotation for a while. If it was in rotation here, the other instances are told too.
+// markDown takes the replica out of rotation for a while. If it was in rotation here, the other instances are informed.
 func (st *State) markDown(rep *replica) {
 	wasDown := !rep.usable(st.now)
 	rep.failed(st.now)
@@ -108,7 +108,7 @@
 		return
 	}
 	if !st.mayRepeat(req, ev) {
-		st.refuse(req, ReasonUpstream, busyRetryDelay)
+		st.refuse(req, ReasonUpstream, busyRetryAfter)
 		return
 	}
 	if !slices.Contains(req.tried, req.reps[0].Name) {
--- a/internal/steer/serve.go
+++ b/internal/steer/serve.go
@@ -10,11 +10,11 @@
 // The lifecycle of a request, from its arrival to its single Finish.
 
 const (
-	// busyRetryDelay is the base retry delay for a caller that was refused for lack of capacity or after a failure.
-	busyRetryDelay = 500 * time.Millisecond
-	// drainRetryDelay is the retry delay for a caller whose instance shuts down. It is short since another instance can serve the
-	// retry.
-	drainRetryDelay = 20 * time.Millisecond
+	// busyRetryAfter is the base RetryAfter of a caller that was refused for lack of capacity or after a failure.
+	busyRetryAfter = 500 * time.Millisecond
+	// drainRetryAfter is the RetryAfter of a caller whose instance shuts down. It is short since another instance can serve
+	// the retry.
+	drainRetryAfter = 20 * time.Millisecond
 	// notRunDelay is the delay before a request is sent again after a replica refused it.
 	notRunDelay = 20 * time.Millisecond
 )
@@ -70,7 +70,7 @@
 	req.job = JobID(req.ID)*jobsPerRequest + req.jobs%jobsPerRequest
 }
 
-// bookGranted books the plan under the current job ID, which an Ask may already have announced.
+// bookGranted books the plan under the current job ID, which a GrantRequest may already have used.
 func (st *State) bookGranted(req *request, pl plan) {
 	req.plan = pl
 	req.reps = append(req.reps[:0], pl.reps...)
@@ -207,12 +207,12 @@
 		return
 	}
 	refusal := &Refusal{Reason: reason, NotRun: req.runs == 0, RetryAfter: after}
-	st.emit(LogLine{Message: "request refused", Request: req.Name, Reason: reason, Age: st.now.Sub(req.at), Attempt: req.attempt, Tokens: req.Prompt, End: st.endOf(req)})
+	st.emit(LogLine{Message: "request refused", Request: req.Name, Reason: reason, Age: st.now.Sub(req.at), Attempt: req.attempt, Tokens: req.Prompt, End: st.outcomeOf(req)})
 	st.finish(req, Finish{ID: req.ID, Refusal: refusal}, "")
 }
 
-// endOf returns the outcome of the request for the log. A late request is reported with its original goal and value.
-func (st *State) endOf(req *request) *Outcome {
+// outcomeOf returns the outcome of the request for the log. A late request is reported with its original goal and value.
+func (st *State) outcomeOf(req *request) *Outcome {
 	end := &Outcome{
 		Route: req.Route.Name, Value: req.value, TriedBefore: req.triedBefore,
 		Goal: req.goal.Sub(req.at), Gap: req.gap, Pause: req.pause,
@@ -232,7 +232,7 @@
 // finish ends a request. Every admitted request passes through it exactly once.
 func (st *State) finish(req *request, fin Finish, message string) {
 	if message != "" {
-		st.emit(LogLine{Message: message, Request: req.Name, Age: st.now.Sub(req.at), Attempt: req.attempt, Tokens: req.Prompt, End: st.endOf(req)})
+		st.emit(LogLine{Message: message, Request: req.Name, Age: st.now.Sub(req.at), Attempt: req.attempt, Tokens: req.Prompt, End: st.outcomeOf(req)})
 	}
 	delete(st.requests, req.ID)
 	st.waiting = slices.DeleteFunc(st.waiting, func(other *request) bool { return other == req })
--- a/internal/steer/serve_test.go
+++ b/internal/steer/serve_test.go
@@ -67,7 +67,7 @@
 func TestReplicaRefusingWithFreeSlotsIsMarkedDown(t *testing.T) {
 	// Replicas are drained while the store is unavailable, so their state does not reach the instances. They refuse new
 	// requests at once and look idle and therefore best, so every request would try four of them and fail. After the first
-	// refusal the replica must be out of rotation for a while, here and at the other instances, which are told once.
+	// refusal the replica must be out of rotation for a while, here and at the other instances, which are informed once.
 	in := newInstance(t, "one", 2)
 	first := in.waitForSend(time.Millisecond, in.arrive(&short, 2000))
 	effects := in.end(first, steer.ResultNotRun)
@@ -101,8 +101,8 @@
 func announcedDown(effects []steer.Effect) []string {
 	var names []string
 	for _, eff := range effects {
-		if tell, ok := eff.(steer.SendNote); ok {
-			names = append(names, tell.Note.Down...)
+		if sent, ok := eff.(steer.SendNote); ok {
+			names = append(names, sent.Note.Down...)
 		}
 	}
 	return names
--- a/internal/steer/state.go
+++ b/internal/steer/state.go
@@ -45,7 +45,7 @@
 	peers  map[string]*peer
 	// others lists the other live instances, sorted by name.
 	others []Instance
-	// otherNames lists the otherNames of others, in the same order.
+	// otherNames lists the names of others, in the same order.
 	otherNames []string
 	// live counts the live instances, this one included.
 	live int
@@ -53,8 +53,8 @@
 	usersOf map[subset][]string
 	// outbox holds the note that is being batched for the users of each subset.
 	outbox map[subset]*pending
-	// postAt is the time of the last requested wake-up that flushes the outbox.
-	postAt time.Time
+	// flushAt is the time of the last requested wake-up that flushes the outbox.
+	flushAt time.Time
 	// allowance is the token bucket for messages to other instances.
 	allowance allowance
 	// summaries counts the Summarized events.
@@ -65,17 +65,17 @@
 	quarantine quarantine
 	// meanPrompts holds the moving average of the prompt length in tokens, by route.
 	meanPrompts map[string]float64
-	// longestTimeouts holds the longest timeout that any caller has announced, by route.
+	// longestTimeouts holds the longest timeout that any caller has stated, by route.
 	longestTimeouts map[string]time.Duration
 	// missing holds, by name, when a replica that a possibly incomplete list left out is treated as gone.
 	missing map[string]time.Time
-	// lastUnanswered holds, by name, when an instance last failed to answer an Ask.
+	// lastUnanswered holds, by name, when an instance last failed to answer a GrantRequest.
 	lastUnanswered map[string]time.Time
 	// wakeAt is the time of the last wake-up that was requested for the waiting requests.
 	wakeAt time.Time
-	// loadQueryAt is when the engines are asked for their load, zero before the first replica list.
+	// loadQueryAt is when the engines are queried for their load, zero before the first replica list.
 	loadQueryAt time.Time
-	// loadQueryDone reports whether the engines were asked or need not be.
+	// loadQueryDone reports whether the engines were queried or need not be.
 	loadQueryDone bool
 	// drain is nil until the instance is asked to shut down.
 	drain *Draining
@@ -107,13 +107,13 @@
 	service string
 	// at is the time of arrival.
 	at time.Time
-	// goal is when the answer should begin. A request that cannot make it gets its Patience as the goal, see markLate.
+	// goal is when the answer should begin. A request that cannot meet it gets LeavesAt as the goal, see markLate.
 	goal time.Time
 	// gap is the longest pause within a stream that the route promises.
 	gap time.Duration
 	// value is the utility of an answer that is in time; for a late request, of an answer at all.
 	value float64
-	// triedBefore reports whether the caller seems to have tried before, see recognize.
+	// triedBefore reports whether the caller seems to have tried before, see detectRetry.
 	triedBefore bool
 	// late reports whether the original goal has passed or is out of reach.
 	late bool
@@ -127,7 +127,7 @@
 	running bool
 	// claiming reports whether the request holds a claim on reps that other instances may still contest.
 	claiming bool
-	// job identifies the current ask, claim or attempt.
+	// job identifies the current grant request, claim or attempt.
 	job JobID
 	// jobs counts the jobs of the request so far.
 	jobs JobID
@@ -160,8 +160,8 @@
 	waitingSince time.Time
 	// notBefore is the earliest time of the next attempt, after a refusal or a withdrawn claim.
 	notBefore time.Time
-	// ask is the pending permission request for a rate-limited replica.
-	ask ask
+	// grant is the requested or granted send to a rate-limited replica.
+	grant pendingGrant
 	// avoidUntil holds, by name, until when the request skips a rate-limited replica.
 	avoidUntil map[string]time.Time
 }
@@ -212,7 +212,7 @@
 	case Listed:
 		st.listed(ev)
 	case ListChanged:
-		st.relisted(ev)
+		st.listChanged(ev)
 	case Configured:
 		st.configured(ev)
 	case Peered:
@@ -222,7 +222,7 @@
 	case LoadReported:
 		st.loadReported(ev)
 	case ResponseReceived:
-		st.answered(ev)
+		st.responseReceived(ev)
 	case Draining:
 		st.drain = &ev
 	case Summarized:
--- a/internal/steer/steer_test.go
+++ b/internal/steer/steer_test.go
@@ -110,7 +110,7 @@
 	return jobs
 }
 
-// waitForSend returns the first Send among the effects or waitForSend the period after them.
+// waitForSend returns the first Send among the effects, or among those of the ticks in the period after them.
 func (in *instance) waitForSend(period time.Duration, effects []steer.Effect) steer.Send {
 	in.t.Helper()
 	for until := in.now.Add(period); ; {
@@ -266,9 +266,9 @@
 	// After an outage of the store, entries of live replicas are missing until the replicas have rewritten them, within two
 	// seconds. Until then they must stay in use; a replica whose entry stays missing is gone.
 	cases := map[string]struct {
-		away   bool
-		after  time.Duration
-		served bool
+		afterOutage bool
+		after       time.Duration
+		served      bool
 	}{
 		"missing without an outage":           {false, 0, false},
 		"missing one second after an outage":  {true, time.Second, true},
@@ -277,7 +277,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			in := newInstance(t, "one", 1)
-			in.reduce(steer.Listed{Replicas: replicas(0), AfterOutage: tc.away})
+			in.reduce(steer.Listed{Replicas: replicas(0), AfterOutage: tc.afterOutage})
 			in.advance(tc.after)
 			if tc.served {
 				find[steer.Send](t, in.arrive(&short, 5000))
@@ -338,7 +338,7 @@
 
 func TestLoadLeftByDeadInstancesIsCounted(t *testing.T) {
 	// All instances restart while the engines still generate answers for the dead ones, and one engine has all its slots taken.
-	// The first instance knows no other, so it must query the engines once. It and those that it tells must use the other
+	// The first instance knows no other, so it must query the engines once. It and those that it informs must use the other
 	// engine until the answers for the dead have ended. Instances that know one earlier by name or longer-running must not
 	// query.
 	one, two := newInstance(t, "one", 2), newInstance(t, "two", 2)
--- a/internal/steer/subset.go
+++ b/internal/steer/subset.go
@@ -51,8 +51,8 @@
 	parts int
 }
 
-// sortedSubsets returns the keys in a fixed order, so that the effects of an instance depend on its events alone and not on the
-// order of map iteration.
+// sortedSubsets returns the keys in a fixed order, so that the effects of an instance depend on its events alone and not on
+// the order of map iteration.
 func sortedSubsets[Value any](bySubset map[subset]Value) []subset {
 	return slices.SortedFunc(maps.Keys(bySubset), func(a, b subset) int {
 		return cmp.Or(cmp.Compare(a.domain, b.domain), cmp.Compare(a.part, b.part), cmp.Compare(a.parts, b.parts))
@@ -264,8 +264,8 @@
 	svc.candidates = nil
 }
 
-// queriesLoad reports whether this instance should ask the replica for its load. Of the instances that use the replica's
-// subset, the first by name asks; instances from which no note has arrived are ignored.
+// queriesLoad reports whether this instance should query the replica for its load. Of the instances that use the replica's
+// subset, the first by name does; instances from which no note has arrived are ignored.
 func (st *State) queriesLoad(svc *service, rep *replica) bool {
 	sub := st.layoutOf(svc).ofReplica(rep)
 	if sub == (subset{}) {
@@ -276,6 +276,6 @@
 
 // peerPrecedes reports whether notes arrive from the instance and its name sorts before this instance's name.
 func (st *State) peerPrecedes(name string) bool {
-	_, heard := st.peers[name]
-	return heard && name < st.Options.Name
+	_, live := st.peers[name]
+	return live && name < st.Options.Name
 }
--- a/internal/steer/subset_test.go
+++ b/internal/steer/subset_test.go
@@ -59,18 +59,18 @@
 		t.Run(name, func(t *testing.T) {
 			st := tc.instance(0)
 			svc := st.services["lyric"]
-			weighed := len(st.candidates(svc))
-			told := tc.instances - 1
+			considered := len(st.candidates(svc))
+			notified := tc.instances - 1
 			if names := st.users(st.ownSubset(svc)); names != nil {
-				told = len(names)
+				notified = len(names)
 			}
-			assert.Assert(t, weighed <= tc.candidates && weighed >= min(tc.engines, minSubsetReplicas/2), weighed)
-			assert.Assert(t, told <= tc.audience, told)
+			assert.Assert(t, considered <= tc.candidates && considered >= min(tc.engines, minSubsetReplicas/2), considered)
+			assert.Assert(t, notified <= tc.audience, notified)
 		})
 	}
 }
 
-func TestUsersOfReplicaHearOfEachOther(t *testing.T) {
+func TestUsersOfReplicaNotifyEachOther(t *testing.T) {
 	// Two instances use the same engine. Each must receive the other's notes about it, or both would count its slots as
 	// free. No engine may be left without users.
 	cases := map[string]fleet{
@@ -91,9 +91,9 @@
 			}
 			assert.Equal(t, len(users), fl.engines)
 			for rep, names := range users {
-				told := sts[names[0]].users(sts[names[0]].audience(sts[names[0]].replicas[rep]))
+				notified := sts[names[0]].users(sts[names[0]].audience(sts[names[0]].replicas[rep]))
 				for _, other := range names[1:] {
-					assert.Assert(t, told == nil || slices.Contains(told, other))
+					assert.Assert(t, notified == nil || slices.Contains(notified, other))
 				}
 			}
 		})
@@ -123,9 +123,9 @@
 	}
 	assert.Equal(t, len(st.candidates(svc)), 2250)
 	far := st.replicas["engine-1"]
-	told := st.users(st.audience(far))
-	assert.Assert(t, len(told) >= minSubsetInstances)
-	for _, name := range told {
+	notified := st.users(st.audience(far))
+	assert.Assert(t, len(notified) >= minSubsetInstances)
+	for _, name := range notified {
 		at := slices.IndexFunc(st.others, func(inst Instance) bool { return inst.Name == name })
 		assert.Equal(t, st.others[at].FailureDomain, far.FailureDomain)
 	}
--- a/internal/steer/tuning.go
+++ b/internal/steer/tuning.go
@@ -9,7 +9,7 @@
 
 // Tuning holds the weights by which one placement is compared with another. None of them depends on a deployment: what
 // engines, routes and callers are like is declared or observed. The comment of a weight says which value disables its
-// mechanism. docs/POLICY.md has what each is worth and how sensitive the results are to it.
+// mechanism. docs/POLICY.md describes the effect of each and how sensitive the results are to it.
 type Tuning struct {
 	// RiskFrom is the share of the time left up to which an estimate of the first event counts as safe.
 	RiskFrom float64
@@ -20,8 +20,8 @@
 	RiskPower float64
 	// LateShare is the share of an answer's value that is lost if it is late.
 	LateShare float64
-	// GiveUp is the lateness in ms up to which the loss goes on growing. By then callers have given up, and an answer is
-	// worth next to nothing.
+	// GiveUp is the lateness in ms up to which the loss goes on growing. By then callers have given up, and an answer has
+	// almost no value.
 	GiveUp float64
 	// Safety is the share of the time until the first event that a request may wait for a cheaper placement.
 	Safety float64
@@ -72,14 +72,15 @@
 	// MaxLengthFactor bounds the factor by which a long prompt exceeds the value of its kind.
 	MaxLengthFactor float64 `json:"MostTimes"`
 
-	// LastCall is the share of the goal that is left when a waiting request counts as late; 0 lets it wait until its
+	// LateGoalShare is the share of the goal that is left when a waiting request counts as late; 0 lets it wait until its
 	// goal.
-	LastCall float64
+	LateGoalShare float64 `json:"LastCall"`
 	// MaxRewaitShare is the share of its time that a caller may wait for a replica on a retry or after a failed attempt.
 	MaxRewaitShare float64 `json:"VainShare"`
-	// MinFirstTryShare is the minimum time that a caller has at its first try, as a share of the longest time given.
+	// MinFirstTryShare is the minimum time that a caller has at its first try, as a share of the longest timeout that a
+	// caller of the route has stated.
 	MinFirstTryShare float64 `json:"FirstTry"`
-	// PatientShare is the share of the time left for which callers wait when they are told to retry later.
+	// PatientShare is the share of the time left for which callers wait when they are asked to retry later.
 	PatientShare float64
 }
 
@@ -90,7 +91,7 @@
 		TimeShare: 0.025, BacklogShare: 0.7, SpreadCost: 0.1, FullShare: 1, Crowding: 0.03, FarCost: 0.005,
 		MaxEngines: 16, MinSplit: 60, LongRead: 60, OverdueShare: 0.3,
 		KindPower: 0.7, BaseValue: 1.3, FixedShare: 0.3, MaxLengthFactor: 4,
-		LastCall: 0.4, MaxRewaitShare: 0.2, MinFirstTryShare: 0.84, PatientShare: 1.0 / 3,
+		LateGoalShare: 0.4, MaxRewaitShare: 0.2, MinFirstTryShare: 0.84, PatientShare: 1.0 / 3,
 	}
 }
 
@@ -124,7 +125,7 @@
 	}
 	shares := map[string]float64{
 		"LateShare": tune.LateShare, "Safety": tune.Safety, "GapSafety": tune.GapSafety, "LeaveSafety": tune.LeaveSafety, "CalmShare": tune.MinCostShare,
-		"FixedShare": tune.FixedShare, "LastCall": tune.LastCall, "VainShare": tune.MaxRewaitShare, "FirstTry": tune.MinFirstTryShare,
+		"FixedShare": tune.FixedShare, "LastCall": tune.LateGoalShare, "VainShare": tune.MaxRewaitShare, "FirstTry": tune.MinFirstTryShare,
 		"PatientShare": tune.PatientShare, "OverdueShare": tune.OverdueShare,
 	}
 	for name, share := range shares {
