--- a/internal/lines/lines.go
+++ b/internal/lines/lines.go
@@ -1,4 +1,5 @@
-// Package lines writes a program's log without ever making it wait: a line that finds no room is dropped and counted.
+// Package lines writes a program's log without blocking the program. Lines over the rate limit or beyond the buffer are
+// dropped and counted.
 package lines
 
 import (
@@ -9,18 +10,18 @@
 	"golang.org/x/time/rate"
 )
 
-// backlog is how many lines wait to be written; at a few hundred bytes each they take less than a megabyte.
+// backlog is the number of buffered lines. At a few hundred bytes each they take less than a megabyte.
 const backlog = 1024
 
-// Writer implements log.Writer. It bounds the lines of a second, with a second's worth at once, so that a storm of
-// decisions costs neither the processor time nor the disk of whoever keeps the log.
+// Writer implements log.Writer. It limits the lines per second, with a burst of one second's lines. Otherwise a burst of
+// decisions would use the processor time and the disk of whoever stores the log.
 type Writer struct {
 	async   *log.AsyncWriter
 	limiter *rate.Limiter
 	dropped atomic.Int64
 }
 
-// New returns a writer of at most so many lines a second to out.
+// New returns a writer that writes at most perSecond lines per second to out.
 func New(out io.Writer, perSecond int) *Writer {
 	return &Writer{
 		async:   &log.AsyncWriter{Writer: &log.IOWriter{Writer: out}, ChannelSize: backlog, DiscardOnFull: true},
@@ -28,7 +29,7 @@
 	}
 }
 
-// WriteEntry implements log.Writer.
+// WriteEntry implements log.Writer. It returns 0 for a dropped line.
 func (wr *Writer) WriteEntry(entry *log.Entry) (int, error) {
 	if !wr.limiter.Allow() {
 		wr.dropped.Add(1)
@@ -42,8 +43,8 @@
 	return count, err
 }
 
-// Dropped returns how many lines were not written.
+// Dropped returns the number of dropped lines.
 func (wr *Writer) Dropped() int64 { return wr.dropped.Load() }
 
-// Close writes what waits.
+// Close writes the buffered lines.
 func (wr *Writer) Close() error { return wr.async.Close() }
--- a/internal/lines/lines_test.go
+++ b/internal/lines/lines_test.go
@@ -11,9 +11,9 @@
 	"dandelionsail.example/dandelionsail/internal/lines"
 )
 
-func TestStormIsBounded(t *testing.T) {
-	// A thousand decisions come at once where a hundred lines a second are allowed. The first hundred are written whole,
-	// the others are counted, and nothing waits.
+func TestLineRateIsLimited(t *testing.T) {
+	// A burst of log lines exceeds the rate limit. Without the limit it would use processor time and disk; with it the
+	// first lines are written completely, the rest are counted, and the program does not block.
 	var out bytes.Buffer
 	wr := lines.New(&out, 100)
 	logger := log.Logger{Level: log.InfoLevel, Writer: wr}
@@ -26,17 +26,18 @@
 	assert.Equal(t, int64(written)+wr.Dropped(), int64(1000))
 }
 
-// stuck is an output that takes nothing until it is released.
-type stuck struct{ release chan struct{} }
+// blockedWriter is an output whose writes block until it is released.
+type blockedWriter struct{ release chan struct{} }
 
-func (st stuck) Write(line []byte) (int, error) {
+func (st blockedWriter) Write(line []byte) (int, error) {
 	<-st.release
 	return len(line), nil
 }
 
-func TestStuckOutputHoldsNobodyUp(t *testing.T) {
-	// Whoever reads the log has stopped reading. Lines are dropped and counted, and the program goes on.
-	out := stuck{make(chan struct{})}
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
+	// The reader of the log has stopped reading, so writes to the output block. Lines are dropped and counted, and the
+	// program does not block.
+	out := blockedWriter{make(chan struct{})}
 	wr := lines.New(out, 10_000)
 	logger := log.Logger{Level: log.InfoLevel, Writer: wr}
 	for range 5000 {
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -1,4 +1,4 @@
-// Package load sends requests the way callers do and checks what comes back.
+// Package load generates the load of callers and verifies the answers.
 package load
 
 import (
@@ -17,20 +17,20 @@
 	"dandelionsail.example/dandelionsail/internal/stand"
 )
 
-// Outcome is what a caller saw.
+// Outcome is how a request ended for its caller.
 type Outcome string
 
 // The outcomes.
 const (
-	// OutcomeWhole is a whole and right answer.
+	// OutcomeWhole is a complete and correct answer.
 	OutcomeWhole Outcome = "Whole"
-	// OutcomeRefused is a clear error before any of the answer.
+	// OutcomeRefused is an error response before any of the answer.
 	OutcomeRefused Outcome = "Refused"
-	// OutcomeFailed is a clear error within the answer.
+	// OutcomeFailed is an error event within the answer.
 	OutcomeFailed Outcome = "Failed"
-	// OutcomeShort is an answer that ended as if it were whole without its end marker, which is never right.
+	// OutcomeShort is an answer that ended like a complete one but without its end marker. It is always a fault.
 	OutcomeShort Outcome = "Short"
-	// OutcomeWrong is an answer to another request or with tokens missing, which is never right.
+	// OutcomeWrong is an answer to another request or with missing tokens. It is always a fault.
 	OutcomeWrong Outcome = "Wrong"
 	// OutcomeCut is an answer whose connection broke, which the caller notices.
 	OutcomeCut Outcome = "Cut"
@@ -38,38 +38,40 @@
 	OutcomeBroken Outcome = "Broken"
 )
 
-// Result is the end of one request.
+// Result is how one request ended.
 type Result struct {
 	Outcome Outcome
 	Status  int
-	// Ran is the refusal's word on whether the request ran.
+	// Ran is the response header that states whether the request ran.
 	Ran string
-	// FirstToken is the time to the first token, and Total the time to the end.
+	// FirstToken is the time to the first token.
 	FirstToken time.Duration
-	Total      time.Duration
-	Tokens     int64
-	// Detail is the error's text or what was wrong.
+	// Total is the time to the end.
+	Total  time.Duration
+	Tokens int64
+	// Detail is the text of the error, or describes what is wrong with the answer.
 	Detail string
 }
 
-// Caller sends requests to one address as one organisation.
+// Caller sends requests to one address as one Organisation.
 type Caller struct {
 	Address string
 	Token   string
 	HTTP    *http.Client
-	// Deadline is asked for in the header, unless it is 0.
+	// Deadline is sent in the deadline header unless it is 0.
 	Deadline time.Duration
 }
 
-// Prompt returns a prompt of about the length that no other seed gives.
+// Prompt returns a prompt of about the length that is unique to the seed.
 func Prompt(tokens int64, seed uint64) string {
 	head := fmt.Sprintf("prompt %x ", seed)
 	length := max(int(tokens)*body.BytesPerToken-2, len(head))
 	return head + strings.Repeat("lorem ipsum dolor ", length/18+1)[:length-len(head)]
 }
 
-// Continued returns a prompt of about the length that begins with a prefix of the session's and goes on as no other.
-func Continued(tokens, prefix int64, session, seed uint64) string {
+// SessionPrompt returns a prompt of about the length that begins with the session's prefix and continues with text unique
+// to the seed.
+func SessionPrompt(tokens, prefix int64, session, seed uint64) string {
 	if prefix >= tokens {
 		return Prompt(tokens, session)
 	}
@@ -83,14 +85,14 @@
 	Stream    bool   `json:"stream"`
 }
 
-// Completion is a completion request that is ready to be sent.
+// Completion is an encoded completion request.
 type Completion struct {
 	raw    []byte
 	key    uint32
 	answer int64
 }
 
-// NewCompletion encodes a request ahead of its time, since a long prompt takes milliseconds.
+// NewCompletion encodes a request. Do it before the planned time, since it takes milliseconds for a long prompt.
 func NewCompletion(model, prompt string, answer int64) (*Completion, error) {
 	raw, err := json.Marshal(completionRequest{Model: model, Prompt: prompt, MaxTokens: answer, Stream: true})
 	if err != nil {
@@ -103,7 +105,7 @@
 	return &Completion{raw: raw, key: stand.Fingerprint(bd), answer: answer}, nil
 }
 
-// Complete sends a streamed completion and checks every token of the answer.
+// Complete sends a streamed completion and verifies every token of the answer.
 func (ca *Caller) Complete(ctx context.Context, model, prompt string, answer int64) Result {
 	cm, err := NewCompletion(model, prompt, answer)
 	if err != nil {
@@ -112,7 +114,7 @@
 	return ca.Send(ctx, cm)
 }
 
-// Send is Complete for a request that is ready.
+// Send sends an encoded request and verifies every token of the answer.
 func (ca *Caller) Send(ctx context.Context, cm *Completion) Result {
 	started := time.Now()
 	resp, err := ca.Do(ctx, http.MethodPost, "/v1/completions", cm.raw, nil)
@@ -123,11 +125,11 @@
 	if resp.StatusCode != http.StatusOK {
 		return refused(resp, started)
 	}
-	reading := &reader{key: cm.key, started: started, answer: cm.answer}
+	reading := &answerReader{key: cm.key, started: started, answer: cm.answer}
 	return reading.read(resp.Body)
 }
 
-// Do sends any request with the organisation's token.
+// Do sends any request with the Organisation's token.
 func (ca *Caller) Do(ctx context.Context, method, path string, raw []byte, header http.Header) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+ca.Address+path, bytes.NewReader(raw))
 	if err != nil {
@@ -154,8 +156,8 @@
 	}
 }
 
-// reader checks an answer as it arrives.
-type reader struct {
+// answerReader verifies an answer as it arrives.
+type answerReader struct {
 	// key is the fingerprint of the prompt.
 	key     uint32
 	started time.Time
@@ -170,7 +172,7 @@
 	} `json:"choices"`
 }
 
-func (rd *reader) read(stream io.Reader) Result {
+func (rd *answerReader) read(stream io.Reader) Result {
 	rd.result.Status = http.StatusOK
 	rd.result.Outcome = OutcomeShort
 	lines := bufio.NewReader(stream)
@@ -192,8 +194,8 @@
 	return rd.result
 }
 
-// line takes one line and reports whether the answer is at its end.
-func (rd *reader) line(line string) bool {
+// line processes one line and reports whether the answer has ended.
+func (rd *answerReader) line(line string) bool {
 	if line == "event: error" {
 		rd.failed = true
 		return false
@@ -208,28 +210,28 @@
 		return true
 	}
 	if data == "[DONE]" {
-		rd.end()
+		rd.finish()
 		return true
 	}
 	return rd.token([]byte(data))
 }
 
-func (rd *reader) end() {
+func (rd *answerReader) finish() {
 	rd.result.Outcome = OutcomeWhole
 	if rd.result.Tokens != rd.answer {
 		rd.result.Outcome = OutcomeWrong
-		rd.result.Detail = fmt.Sprintf("%d tokens of %d", rd.result.Tokens, rd.answer)
+		rd.result.Detail = fmt.Sprintf("%d tokens instead of %d", rd.result.Tokens, rd.answer)
 	}
 }
 
-func (rd *reader) token(data []byte) bool {
+func (rd *answerReader) token(data []byte) bool {
 	if rd.result.Tokens == 0 {
 		rd.result.FirstToken = time.Since(rd.started)
 	}
 	var chunk textChunk
 	if err := json.Unmarshal(data, &chunk); err != nil || len(chunk.Choices) != 1 {
 		rd.result.Outcome = OutcomeWrong
-		rd.result.Detail = "a chunk that is no completion: " + string(data)
+		rd.result.Detail = "chunk is not a completion: " + string(data)
 		return true
 	}
 	want := stand.WordOf(rd.key, rd.result.Tokens)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -20,7 +20,7 @@
 	return sc
 }
 
-func TestScenariosAreTodaysSizes(t *testing.T) {
+func TestScenariosHaveDeclaredSizes(t *testing.T) {
 	for name, replicas := range map[string]int{"sreekovil": 14, "sundarban": 18} {
 		t.Run(name, func(t *testing.T) {
 			sc := scenario(t, name)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestPlanIsTheMix(t *testing.T) {
+func TestPlanMatchesMix(t *testing.T) {
 	sc := scenario(t, "sreekovil")
 	sc.Mix.Duration = decl.Duration(20_000 * time.Second)
 	plan := load.Plan(sc, 7, true)
@@ -61,7 +61,7 @@
 	assert.Assert(t, math.Abs(offered-sc.Mix.Utilisation) < 0.02, "offered %.3f of capacity", offered)
 }
 
-func TestPlanWithoutLongKeepsTheRest(t *testing.T) {
+func TestPlanWithoutLongPromptsKeepsOthers(t *testing.T) {
 	sc := scenario(t, "sundarban")
 	with, without := load.Plan(sc, 3, true), load.Plan(sc, 3, false)
 	var kept []load.Planned
@@ -74,7 +74,7 @@
 	assert.Assert(t, len(with) > len(without))
 }
 
-func TestFloodAddsOnlyItsOwn(t *testing.T) {
+func TestFloodAddsOnlyToItsOrganisation(t *testing.T) {
 	sc := scenario(t, "sreekovil")
 	calm := count(load.Plan(sc, 3, true))
 	sc.Organisations[4].Flood = 10
@@ -96,17 +96,16 @@
 }
 
 func TestSessionsSharePrefixes(t *testing.T) {
-	one, two := load.Continued(9000, 4000, 5, 1), load.Continued(6000, 4000, 5, 2)
-	assert.Equal(t, one[:4*3900], two[:4*3900])
-	assert.Assert(t, one[:4*4100] != two[:4*4100])
-	assert.Assert(t, strings.HasPrefix(one, load.Continued(2000, 4000, 5, 3)))
-	assert.Assert(t, !strings.HasPrefix(one, load.Continued(2000, 4000, 6, 3)))
+	a, b := load.SessionPrompt(9000, 4000, 5, 1), load.SessionPrompt(6000, 4000, 5, 2)
+	assert.Equal(t, a[:4*3900], b[:4*3900])
+	assert.Assert(t, a[:4*4100] != b[:4*4100])
+	assert.Assert(t, strings.HasPrefix(a, load.SessionPrompt(2000, 4000, 5, 3)))
+	assert.Assert(t, !strings.HasPrefix(a, load.SessionPrompt(2000, 4000, 6, 3)))
 }
 
-func TestStallShowsInLatency(t *testing.T) {
-	// A request cannot be sent at its time, because the sender's machine stalls.
-	// A latency counted from the send would hide the stall from everyone who reads the figures; it counts from the
-	// planned time, and the late send is counted itself.
+func TestLatencyIsMeasuredFromPlannedTime(t *testing.T) {
+	// The sender's machine stalls, so a request is sent after its planned time. A latency measured from the send would
+	// hide the stall, so it is measured from the planned time, and the late send is counted as well.
 	rc := load.Record{
 		Planned: load.Planned{PromptTokens: 1000, Answer: 1, Deadline: time.Second},
 		Result:  load.Result{Outcome: load.OutcomeWhole, FirstToken: 100 * time.Millisecond, Total: 200 * time.Millisecond},
@@ -134,7 +133,7 @@
 }
 
 func TestRunIsOpenLoop(t *testing.T) {
-	// The server answers nothing until every request of the run is there, so a closed loop would never end.
+	// The server answers only after all requests of the run have arrived, so a closed loop would never end.
 	sc := scenario(t, "sreekovil")
 	plan := make([]load.Planned, 8)
 	for i := range plan {
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Planned is one request and when it is to be sent.
+// Planned is one planned request.
 type Planned struct {
-	// At is the time after the start of the run.
+	// At is the time to send it, from the start of the run.
 	At           time.Duration
 	Organisation string
-	// Plain marks a call of the plain service; the fields below but Key are those of completions.
+	// Plain marks a call of the plain service. PromptTokens to Session apply to completions only.
 	Plain bool
 	// Key is the idempotency key of a plain call.
 	Key          uint64
@@ -20,35 +20,35 @@
 	Answer       int64
 	// Content is the seed of the prompt.
 	Content uint64
-	// Prefix is how many tokens the prompt shares with the others of its Session; 0 for none.
+	// Prefix is the number of tokens that the prompt shares with the others of its Session; 0 for none.
 	Prefix  int64
 	Session uint64
-	// Deadline is the time the request has.
+	// Deadline is the time allowed for the request.
 	Deadline time.Duration
-	// Instance chooses the entry instance, modulo their number.
+	// Instance selects the Instance, modulo their number.
 	Instance uint64
 }
 
-// planner draws the requests of a run. Each draw of one kind has its own source, so that taking long prompts out of a
-// plan leaves the others as they were.
+// planner draws the requests of a run. Each kind of request has a random source of its own, so that the others stay the
+// same if one kind changes.
 type planner struct {
 	sc   *Scenario
 	seed uint64
 	plan []Planned
 }
 
-// Plan returns the run's requests in the order of time, the same for the same scenario and seed. Without long ones the
-// others stay as they are.
+// Plan returns the requests of a run in the order of time. The same scenario and seed give the same requests. Without the
+// long prompts the other requests are unchanged.
 func Plan(sc *Scenario, seed uint64, withLong bool) []Planned {
 	pl := &planner{sc: sc, seed: seed}
 	pl.completions(withLong)
 	pl.floods()
 	pl.plain()
-	slices.SortStableFunc(pl.plan, func(one, two Planned) int { return int(one.At - two.At) })
+	slices.SortStableFunc(pl.plan, func(a, b Planned) int { return int(a.At - b.At) })
 	return pl.plan
 }
 
-// Streams of random draws.
+// Streams of the random sources.
 const (
 	streamMix = iota + 1
 	streamPlain
@@ -65,7 +65,7 @@
 	}
 }
 
-// floods adds what organisations send beyond their share.
+// floods adds the requests that Organisations send in excess of their share.
 func (pl *planner) floods() {
 	for number, org := range pl.sc.Organisations {
 		if org.Flood <= 1 {
@@ -92,7 +92,7 @@
 	}
 }
 
-// times draws a Poisson process with bursts whose mean rate, a second of the scenario, is as given.
+// times draws the times of a Poisson process with bursts. perSecond is the mean rate per second of the scenario.
 func (pl *planner) times(random *rand.Rand, perSecond float64) []time.Duration {
 	if perSecond <= 0 {
 		return nil
@@ -113,7 +113,7 @@
 	}
 }
 
-// burst is the factor on the mean rate at a time.
+// burst returns the factor on the mean rate at a time.
 func (pl *planner) burst(at time.Duration) float64 {
 	mx := pl.sc.Mix
 	if mx.BurstFactor <= 1 || mx.BurstPeriod <= mx.BurstTime {
@@ -143,7 +143,7 @@
 
 func (pl *planner) completion(random *rand.Rand, at time.Duration, org int) Planned {
 	mx := pl.sc.Mix
-	// Each request takes the same number of draws whatever comes of them.
+	// Each request takes the same number of random values, so that the following requests don't depend on its kind.
 	long, length, answer := random.Float64() < mx.LongShare, random.Float64(), random.Float64()
 	inSession, session, content := random.Float64() < mx.SessionShare, random.IntN(max(1, mx.Sessions)), random.Uint64()
 	req := Planned{
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// ahead is how long before its time a request is made ready.
-	ahead = 250 * time.Millisecond
-	// lateAfter is from when on a send counts as late.
-	lateAfter = 10 * time.Millisecond
-	// grace is how long a run waits for an answer beyond its deadline.
+	// prepareTime is how long before its planned time a request is encoded.
+	prepareTime = 250 * time.Millisecond
+	// lateThreshold is the delay above which a send counts as late.
+	lateThreshold = 10 * time.Millisecond
+	// grace is how long after its deadline a run waits for an answer.
 	grace = 5 * time.Second
 )
 
-// Balancer holds the addresses of the entry instances, as the platform's balancer does.
+// Balancer holds the addresses of the Instances, like the platform's load balancer.
 type Balancer struct {
 	mu        sync.Mutex
 	addresses []string
@@ -41,41 +41,41 @@
 	return ba.addresses[draw%uint64(len(ba.addresses))]
 }
 
-// Record is the end of one planned request.
+// Record is the result of one planned request.
 type Record struct {
 	Planned Planned
 	Result  Result
-	// Late is how long after its time it was sent. Latencies count from the planned time.
+	// Late is the delay of the send. Latencies are measured from the planned time.
 	Late time.Duration
 }
 
-// FirstToken is the time from when the request was to be sent to the first token.
+// FirstToken returns the time from the planned time to the first token.
 func (rc *Record) FirstToken() time.Duration {
 	return rc.Late + rc.Result.FirstToken
 }
 
-// Runner sends planned requests at their times, whatever became of earlier ones.
+// Runner sends planned requests at their times in an open loop: it doesn't wait for earlier ones to end.
 type Runner struct {
 	Scenario *Scenario
 	Balancer *Balancer
-	// Tokens gives each organisation's bearer token.
+	// Tokens maps Organisations to their bearer tokens.
 	Tokens map[string]string
 	HTTP   *http.Client
 }
 
-// Client returns an HTTP client that keeps enough connections for a run.
+// Client returns an HTTP client that keeps enough idle connections for a run.
 func Client() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, WriteBufferSize: 64 << 10}}
 }
 
-// Run sends the plan and returns when every request has ended.
+// Run sends the requests and returns their records after all have ended.
 func (ru *Runner) Run(ctx context.Context, plan []Planned) []Record {
 	records := make([]Record, len(plan))
 	var group sync.WaitGroup
-	start := time.Now().Add(2 * ahead)
+	start := time.Now().Add(2 * prepareTime)
 	for i, req := range plan {
 		at := start.Add(req.At)
-		if !sleepUntil(ctx, at.Add(-ahead)) {
+		if !sleepUntil(ctx, at.Add(-prepareTime)) {
 			records = records[:i]
 			break
 		}
@@ -102,7 +102,7 @@
 	if req.Plain {
 		return ru.call(limited, req, at)
 	}
-	cm, err := NewCompletion(ru.Scenario.Model.Service, Continued(req.PromptTokens, req.Prefix, req.Session, req.Content), req.Answer)
+	cm, err := NewCompletion(ru.Scenario.Model.Service, SessionPrompt(req.PromptTokens, req.Prefix, req.Session, req.Content), req.Answer)
 	if err != nil {
 		return Record{Planned: req, Result: Result{Outcome: OutcomeBroken, Detail: err.Error()}}
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-// call sends one non-idempotent call with its key.
+// call sends one non-idempotent call with its idempotency key.
 func (ru *Runner) call(ctx context.Context, req Planned, at time.Time) Record {
 	sleepUntil(ctx, at)
 	rc := Record{Planned: req, Late: time.Since(at)}
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -9,16 +9,16 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// ClassPlain is the class of calls to plain services.
+// ClassPlain is the name of the group of calls of the plain service.
 const ClassPlain = "Plain"
 
-// ClassAll sums up all completions.
+// ClassAll is the name of the group of all completions.
 const ClassAll = "All"
 
-// maxTracked is the longest time the histograms hold, in microseconds.
+// maxTracked is the maximum time in the histograms, in microseconds.
 const maxTracked = int64(10 * time.Minute / time.Microsecond)
 
-// Times is a distribution, in microseconds.
+// Times is a distribution of times, in microseconds.
 type Times struct{ hist *hdrhistogram.Histogram }
 
 // NewTimes returns an empty distribution with two significant digits.
@@ -26,50 +26,51 @@
 	return &Times{hist: hdrhistogram.New(1, maxTracked, 2)}
 }
 
-// Add takes a time in.
+// Add adds a time.
 func (ts *Times) Add(period time.Duration) {
 	_ = ts.hist.RecordValue(min(max(1, period.Microseconds()), maxTracked))
 }
 
-// Merge takes another distribution in.
+// Merge adds another distribution.
 func (ts *Times) Merge(other *Times) {
 	ts.hist.Merge(other.hist)
 }
 
-// Count is how many times were taken in.
+// Count returns the number of times in the distribution.
 func (ts *Times) Count() int64 {
 	return ts.hist.TotalCount()
 }
 
-// Quantile returns the time that a share of all, from 0 to 1, is at or below; 0 if there are none.
+// Quantile returns the quantile for a share from 0 to 1, or 0 if the distribution is empty.
 func (ts *Times) Quantile(share float64) time.Duration {
 	return time.Duration(ts.hist.ValueAtQuantile(100*share)) * time.Microsecond
 }
 
-// Counts are the ends of requests.
+// Counts counts requests by how they ended.
 type Counts struct {
 	Sent    int64
 	Whole   int64
 	Refused int64
-	// NotRun counts the refusals that said so; RefusedLate those that came after more than 50 ms.
-	NotRun      int64
+	// NotRun is the number of refusals that state that the request did not run.
+	NotRun int64
+	// RefusedLate is the number of refusals that took longer than fastRefusal.
 	RefusedLate int64
 	Failed      int64
 	Short       int64
 	Wrong       int64
 	Cut         int64
 	Broken      int64
-	// InTime counts whole answers within their deadline.
+	// InTime is the number of complete answers before their deadline.
 	InTime int64
-	// Tokens counts the prompt and answer tokens of whole answers in time.
+	// Tokens is the number of prompt and answer tokens of the answers in time.
 	Tokens int64
 }
 
-// Group is the measurements of some of the requests.
+// Group holds the measurements of a group of requests.
 type Group struct {
 	Counts
 	FirstToken *Times
-	// Refusal is the time to a refusal.
+	// Refusal is the distribution of the time to a refusal.
 	Refusal *Times
 }
 
@@ -77,7 +78,7 @@
 	return &Group{FirstToken: NewTimes(), Refusal: NewTimes()}
 }
 
-// Merge takes another group in.
+// Merge adds another group.
 func (gr *Group) Merge(other *Group) {
 	gr.FirstToken.Merge(other.FirstToken)
 	gr.Refusal.Merge(other.Refusal)
@@ -95,22 +96,22 @@
 	gr.Tokens += other.Tokens
 }
 
-// promptRefusal is how fast a refusal has to come.
-const promptRefusal = 50 * time.Millisecond
+// fastRefusal is the maximum time of a refusal that does not count as late.
+const fastRefusal = 50 * time.Millisecond
 
 func (gr *Group) add(rc *Record) {
 	gr.Sent++
 	res := &rc.Result
 	switch res.Outcome {
 	case OutcomeWhole:
-		gr.whole(rc)
+		gr.addWhole(rc)
 	case OutcomeRefused:
 		gr.Refused++
 		gr.Refusal.Add(rc.Late + res.Total)
 		if res.Ran == string(effect.NotRun) {
 			gr.NotRun++
 		}
-		if rc.Late+res.Total > promptRefusal {
+		if rc.Late+res.Total > fastRefusal {
 			gr.RefusedLate++
 		}
 	case OutcomeFailed:
@@ -126,7 +127,7 @@
 	}
 }
 
-func (gr *Group) whole(rc *Record) {
+func (gr *Group) addWhole(rc *Record) {
 	gr.Whole++
 	gr.FirstToken.Add(rc.FirstToken())
 	if rc.Late+rc.Result.Total <= rc.Planned.Deadline {
@@ -135,34 +136,36 @@
 	}
 }
 
-// Summary is the measurements of a run, or of several put together.
+// Summary holds the measurements of one or several runs.
 type Summary struct {
 	// Classes has a group for each length class, ClassAll and ClassPlain.
 	Classes map[string]*Group
-	// Organisations has the short prompts of each, and Whole all its completions.
+	// Organisations has the completions of the shortest length class by Organisation.
 	Organisations map[string]*Group
-	Whole         map[string]*Group
-	// LateSends counts sends over 10 ms late, and LateMax is the latest.
+	// Whole has all completions by Organisation.
+	Whole map[string]*Group
+	// LateSends is the number of sends that were later than lateThreshold.
 	LateSends int64
-	LateMax   time.Duration
-	// Examples has a text for some bad ends, by outcome.
+	// LateMax is the maximum delay of a send.
+	LateMax time.Duration
+	// Examples has the detail of one request for each outcome that has details.
 	Examples map[Outcome]string
 }
 
-// NewSummary returns an empty one.
+// NewSummary returns an empty summary.
 func NewSummary() *Summary {
 	return &Summary{
 		Classes: map[string]*Group{}, Organisations: map[string]*Group{}, Whole: map[string]*Group{}, Examples: map[Outcome]string{},
 	}
 }
 
-// Summarise measures a run.
+// Summarise summarises the records of a run.
 func Summarise(records []Record) *Summary {
 	sm := NewSummary()
 	cfg := &decl.Config{}
 	for i := range records {
 		rc := &records[i]
-		sm.late(rc)
+		sm.recordLate(rc)
 		if rc.Planned.Plain {
 			group(sm.Classes, ClassPlain).add(rc)
 			continue
@@ -178,8 +181,8 @@
 	return sm
 }
 
-func (sm *Summary) late(rc *Record) {
-	if rc.Late > lateAfter {
+func (sm *Summary) recordLate(rc *Record) {
+	if rc.Late > lateThreshold {
 		sm.LateSends++
 	}
 	sm.LateMax = max(sm.LateMax, rc.Late)
@@ -197,7 +200,7 @@
 	return gr
 }
 
-// Merge takes the measurements of another run in.
+// Merge adds the measurements of another run.
 func (sm *Summary) Merge(other *Summary) {
 	for _, pair := range [][2]map[string]*Group{
 		{sm.Classes, other.Classes}, {sm.Organisations, other.Organisations}, {sm.Whole, other.Whole},
@@ -213,7 +216,7 @@
 	}
 }
 
-// Figures are a group's measurements as they are written to JSON; times are in milliseconds.
+// Figures holds a group's measurements as they are written to JSON. Times are in milliseconds.
 type Figures struct {
 	Counts
 	P50, P95, P99, Max float64
@@ -234,7 +237,7 @@
 	}
 }
 
-// Milliseconds returns a time as a number of them.
+// Milliseconds converts a duration to milliseconds.
 func Milliseconds(period time.Duration) float64 {
 	return float64(period.Microseconds()) / 1000
 }
--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -1,5 +1,5 @@
-// Package loss tells from the instances' logs where worth was lost: each request that was not answered in time is given to
-// one cause.
+// Package loss finds from the logs of the instances why worth was lost. It assigns each request that was not answered in
+// time to one cause.
 package loss
 
 import (
@@ -18,37 +18,42 @@
 // Cause is why a request lost worth.
 type Cause string
 
-// The causes, one for each request that was not answered in time.
+// The causes. Each request that was not answered in time has exactly one.
 const (
-	// CauseWaited is a first event that was reckoned to be late when the request was sent: it had waited here for too long.
-	CauseWaited Cause = "waited here"
-	// CauseEngine is a first event that came later than was reckoned, CausePassed one before whose reading its engines
-	// got parts of other prompts, which they read first.
+	// CauseQueued is a late first event that was already estimated to be late when the request was sent, after too long a
+	// wait in the Instance's queue.
+	CauseQueued Cause = "waited here"
+	// CauseEngine is a first event that came later than estimated, without an attempt that overtook the request.
 	CauseEngine Cause = "waited at the engine"
-	CausePassed Cause = "passed by later parts"
-	// CauseRead is a pause while the engine read other prompts, CauseSilent one without.
-	CauseRead   Cause = "paused by a read"
-	CauseSilent Cause = "paused without a read"
-	// CauseRepeated is an answer that took several attempts.
+	// CauseOvertaken is a first event that came later than estimated, after its engines got parts of other prompts, which
+	// they prefill first.
+	CauseOvertaken Cause = "passed by later parts"
+	// CausePausedByRead is a pause during which the engine got other prompts to prefill.
+	CausePausedByRead Cause = "paused by a read"
+	// CausePaused is a pause without such a prompt.
+	CausePaused Cause = "paused without a read"
+	// CauseRepeated is a late answer that took several attempts.
 	CauseRepeated Cause = "repeated"
-	// CauseBack is a caller that came back too late to be in time.
-	CauseBack Cause = "back from a try before"
-	// CauseRefused is a refusal of a first try, CauseAgain one of a caller that had come back.
+	// CauseLateRetry is a late answer to a caller that was refused before and retried too late to be in time.
+	CauseLateRetry Cause = "back from a try before"
+	// CauseRefused is a refusal of a caller's first request.
 	CauseRefused Cause = "refused"
-	CauseAgain   Cause = "refused again"
-	// CauseLeft is a caller that left, CauseFailed a failure of the upstream or a deadline that passed midway.
-	CauseLeft   Cause = "caller left"
+	// CauseRefusedAgain is a refusal of a caller that retried.
+	CauseRefusedAgain Cause = "refused again"
+	// CauseCallerLeft is a caller that cancelled its request.
+	CauseCallerLeft Cause = "caller left"
+	// CauseFailed is a failure of the upstream, or a deadline that passed after the answer began.
 	CauseFailed Cause = "failed"
-	// CauseInstance is a request that was under way at an instance when it ended.
-	CauseInstance Cause = "lost with an instance"
-	// CauseDeadline is a request that found no replica within its time.
+	// CauseInstanceStopped is a request that was open when its Instance stopped.
+	CauseInstanceStopped Cause = "lost with an instance"
+	// CauseDeadline is a request for which no replica had room before its deadline.
 	CauseDeadline Cause = "no place in time"
 )
 
-// lateShare is the part of its worth that a late answer loses.
-const lateShare = 0.75
+// lateLossShare is the share of its worth that a late answer loses, as in the default steer.Tuning.
+const lateLossShare = 0.75
 
-// Line is one line of an instance's log, with the fields that matter here. They are those of steer.Line.
+// Line is one line of an Instance's log. It has the fields of steer.Line that the analysis needs.
 type Line struct {
 	Time       time.Time `json:"time"`
 	Message    string    `json:"message"`
@@ -78,37 +83,41 @@
 	Instance string
 	Route    string
 	Cause    Cause
-	// Worth is what was lost of it.
+	// Worth is the part of the request's worth that was lost.
 	Worth float64
 }
 
-// Report is what the logs say.
+// Report is the result of the analysis.
 type Report struct {
-	// Requests counts those that ended or were lost, InTime those that were answered in time.
-	Requests, InTime int
-	// Worth is that of all requests, as the instances reckoned it; Lost what was lost of it.
-	Worth, Lost float64
-	Losses      []Loss
-	// From is when the first request came.
+	// Requests is the number of requests that ended or were lost with an Instance.
+	Requests int
+	// InTime is the number of requests that were answered in time.
+	InTime int
+	// Worth is the worth of all requests as the Instances valued them.
+	Worth float64
+	// Lost is the part of Worth that was lost.
+	Lost   float64
+	Losses []Loss
+	// From is when the first request arrived.
 	From time.Time
-	// Skipped counts lines that were no log lines.
+	// Skipped is the number of lines that are not log lines.
 	Skipped int
 }
 
-// Unreadable is a log that could not be read to its end.
+// Unreadable is the error type of a log that could not be read to its end.
 var Unreadable = errorx.NewNamespace("loss").NewType("unreadable")
 
-// maxLine bounds one line.
+// maxLine is the maximum length of a line in bytes.
 const maxLine = 1 << 20
 
-// Logs gathers the lines of several instances.
+// Logs collects the log lines of several Instances.
 type Logs struct {
 	lines   []Line
 	skipped int
 }
 
-// Read takes the lines of one log. Words before a line's JSON may name the instance, the last of them; without any, name
-// does.
+// Read reads the lines of one log. If there are words before a line's JSON, the last of them is the name of the Instance;
+// otherwise name is.
 func (lg *Logs) Read(name string, in io.Reader) error {
 	scan := bufio.NewScanner(in)
 	scan.Buffer(nil, maxLine)
@@ -125,55 +134,55 @@
 		lg.lines = append(lg.lines, line)
 	}
 	if err := scan.Err(); err != nil {
-		return Unreadable.Wrap(err, "loss: the log %s cannot be read to its end; give it whole", name)
+		return Unreadable.Wrap(err, "loss: the log %s cannot be read to its end; give the complete log", name)
 	}
 	return nil
 }
 
-// key names a request at an instance.
-type key struct{ instance, request string }
+// requestKey identifies a request in the log of an Instance.
+type requestKey struct{ instance, request string }
 
-// life is what the logs say of one request.
-type life struct {
+// sentAttempts holds the lines of the attempts that were sent for a request.
+type sentAttempts struct {
 	sends []Line
 }
 
-// Report gives each request that was not answered in time to one cause.
+// Report assigns each request that was not answered in time to a cause.
 func (lg *Logs) Report() *Report {
-	slices.SortStableFunc(lg.lines, func(one, two Line) int { return one.Time.Compare(two.Time) })
+	slices.SortStableFunc(lg.lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	rp := &Report{Skipped: lg.skipped}
-	open := map[key]*life{}
+	open := map[requestKey]*sentAttempts{}
 	parts := lg.parts()
 	for i := range lg.lines {
 		line := &lg.lines[i]
-		name := key{line.instance, line.Request}
+		name := requestKey{line.instance, line.Request}
 		switch {
 		case line.Message == "started":
-			rp.lose(line.instance, open)
+			rp.addLost(line.instance, open)
 		case line.Route != "":
-			rp.end(line, open[name], parts)
+			rp.addEnded(line, open[name], parts)
 			delete(open, name)
 		case line.Message == "request sent":
-			lf := open[name]
-			if lf == nil {
-				lf = &life{}
-				open[name] = lf
+			sa := open[name]
+			if sa == nil {
+				sa = &sentAttempts{}
+				open[name] = sa
 			}
-			lf.sends = append(lf.sends, *line)
+			sa.sends = append(sa.sends, *line)
 		}
 	}
-	slices.SortStableFunc(rp.Losses, func(one, two Loss) int { return one.At.Compare(two.At) })
+	slices.SortStableFunc(rp.Losses, func(a, b Loss) int { return a.At.Compare(b.At) })
 	return rp
 }
 
-// part is a prompt's reading that an engine was sent.
+// part is a prompt, or a share of one, that was sent to an engine for prefill. help marks that another engine answers it.
 type part struct {
 	at      time.Time
 	request string
 	help    bool
 }
 
-// parts lists what each replica was sent, in the order of time.
+// parts lists what was sent to each replica, in the order of time.
 func (lg *Logs) parts() map[string][]part {
 	parts := map[string][]part{}
 	for i := range lg.lines {
@@ -189,33 +198,33 @@
 	return parts
 }
 
-// lose takes what was open at an instance that started anew.
-func (rp *Report) lose(instance string, open map[key]*life) {
-	for _, name := range slices.SortedFunc(maps.Keys(open), func(one, two key) int { return cmp.Compare(one.request, two.request) }) {
+// addLost records the open requests of an Instance that started again as lost.
+func (rp *Report) addLost(instance string, open map[requestKey]*sentAttempts) {
+	for _, name := range slices.SortedFunc(maps.Keys(open), func(a, b requestKey) int { return cmp.Compare(a.request, b.request) }) {
 		if name.instance != instance {
 			continue
 		}
 		first := open[name].sends[0]
 		at := first.Time.Add(-time.Duration(first.AgeMs) * time.Millisecond)
 		rp.Requests++
-		// Its worth stands only on the line that it never got.
-		rp.Losses = append(rp.Losses, Loss{At: at, Request: name.request, Instance: instance, Cause: CauseInstance})
+		// Its worth is logged only when it ends, so it counts with a worth of 0.
+		rp.Losses = append(rp.Losses, Loss{At: at, Request: name.request, Instance: instance, Cause: CauseInstanceStopped})
 		delete(open, name)
 	}
 }
 
-// end takes the line that ends a request.
-func (rp *Report) end(line *Line, lf *life, parts map[string][]part) {
+// addEnded records a request by the line that ends it.
+func (rp *Report) addEnded(line *Line, sa *sentAttempts, parts map[string][]part) {
 	at := line.Time.Add(-time.Duration(line.AgeMs) * time.Millisecond)
 	if rp.From.IsZero() || at.Before(rp.From) {
 		rp.From = at
 	}
 	rp.Requests++
 	rp.Worth += line.Value
-	if lf == nil {
-		lf = &life{}
+	if sa == nil {
+		sa = &sentAttempts{}
 	}
-	cause, share := causeOf(line, lf, at, parts)
+	cause, share := causeOf(line, sa, at, parts)
 	if cause == "" {
 		rp.InTime++
 		return
@@ -224,15 +233,16 @@
 	rp.Losses = append(rp.Losses, Loss{At: at, Request: line.Request, Instance: line.instance, Route: line.Route, Cause: cause, Worth: share * line.Value})
 }
 
-// causeOf returns why the request lost worth and the share of it; no cause if it was in time.
-func causeOf(line *Line, lf *life, at time.Time, parts map[string][]part) (Cause, float64) {
+// causeOf returns why the request lost worth, and which share of it. The cause is empty if the request was answered in
+// time.
+func causeOf(line *Line, sa *sentAttempts, at time.Time, parts map[string][]part) (Cause, float64) {
 	switch line.Message {
 	case "caller left":
-		return CauseLeft, 1
+		return CauseCallerLeft, 1
 	case "failure delivered":
 		return CauseFailed, 1
 	case "request refused":
-		return refusal(line), 1
+		return refusalCause(line), 1
 	}
 	first := line.FirstMs
 	if line.GapMs == 0 {
@@ -242,61 +252,62 @@
 	switch {
 	case !late && !paused:
 		return "", 0
-	case len(lf.sends) > 1:
-		return CauseRepeated, lateShare
+	case len(sa.sends) > 1:
+		return CauseRepeated, lateLossShare
 	case late:
-		return lateCause(line, lf, parts), lateShare
+		return lateCause(line, sa, parts), lateLossShare
 	}
-	return pauseCause(line, lf, at, parts), lateShare
+	return pauseCause(line, sa, at, parts), lateLossShare
 }
 
-func refusal(line *Line) Cause {
+func refusalCause(line *Line) Cause {
 	switch {
 	case line.FirstMs > 0 || line.Reason == "UpstreamFailed":
 		return CauseFailed
 	case line.Back:
-		return CauseAgain
+		return CauseRefusedAgain
 	case line.Reason == "DeadlineExceeded":
 		return CauseDeadline
 	}
 	return CauseRefused
 }
 
-func lateCause(line *Line, lf *life, parts map[string][]part) Cause {
+func lateCause(line *Line, sa *sentAttempts, parts map[string][]part) Cause {
 	if line.Back {
-		return CauseBack
+		return CauseLateRetry
 	}
-	if len(lf.sends) == 0 {
+	if len(sa.sends) == 0 {
 		return CauseEngine
 	}
-	sent := &lf.sends[0]
+	sent := &sa.sends[0]
 	if sent.AgeMs+sent.EstimateMs > line.GoalMs {
-		return CauseWaited
+		return CauseQueued
 	}
 	began := sent.Time.Add(time.Duration(line.FirstMs-sent.AgeMs) * time.Millisecond)
 	for _, replica := range append([]string{sent.Replica}, sent.Helpers...) {
 		for _, pt := range parts[replica] {
 			if pt.help && pt.request != line.Request && pt.at.After(sent.Time) && pt.at.Before(began) {
-				return CausePassed
+				return CauseOvertaken
 			}
 		}
 	}
 	return CauseEngine
 }
 
-// passLength is how long before a pause what is read in it may have been sent: a pass lasts some 50 ms.
-const passLength = 100 * time.Millisecond
+// passSpan is how long before a pause a prompt may be sent that is prefilled during it. A pass of an engine takes about
+// 50 ms.
+const passSpan = 100 * time.Millisecond
 
-func pauseCause(line *Line, lf *life, at time.Time, parts map[string][]part) Cause {
-	if len(lf.sends) == 0 {
-		return CauseSilent
+func pauseCause(line *Line, sa *sentAttempts, at time.Time, parts map[string][]part) Cause {
+	if len(sa.sends) == 0 {
+		return CausePaused
 	}
 	until := at.Add(time.Duration(line.PauseAtMs) * time.Millisecond)
-	from := until.Add(-time.Duration(line.PauseMs)*time.Millisecond - passLength)
-	for _, pt := range parts[lf.sends[0].Replica] {
+	from := until.Add(-time.Duration(line.PauseMs)*time.Millisecond - passSpan)
+	for _, pt := range parts[sa.sends[0].Replica] {
 		if pt.request != line.Request && pt.at.After(from) && pt.at.Before(until) {
-			return CauseRead
+			return CausePausedByRead
 		}
 	}
-	return CauseSilent
+	return CausePaused
 }
--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -11,7 +11,7 @@
 	"dandelionsail.example/dandelionsail/internal/loss"
 )
 
-// at is a line so many ms after the start.
+// at returns a log line that is ms after the start.
 func at(ms int, instance, fields string) string {
 	when := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).Add(time.Duration(ms) * time.Millisecond)
 	return fmt.Sprintf("%8.3f %s {\"time\":%q,%s}", float64(ms)/1000, instance, when.Format(time.RFC3339Nano), fields)
@@ -30,43 +30,43 @@
 		lost  float64
 	}{
 		"in time": {[]string{sent(0, "a", `"EstimateMs":100`), answered(1000, `"AgeMs":1000,"FirstMs":120,"PauseMs":90,"PauseAtMs":500`)}, "", 0},
-		"sent too late": {
+		"estimated late when sent": {
 			[]string{sent(250, "a", `"AgeMs":250,"EstimateMs":100`), answered(1000, `"AgeMs":1000,"FirstMs":350`)},
-			loss.CauseWaited, 1.5,
+			loss.CauseQueued, 1.5,
 		},
-		"later than reckoned": {
+		"later than estimated": {
 			[]string{sent(0, "a", `"EstimateMs":100`), answered(1000, `"AgeMs":1000,"FirstMs":350`)},
 			loss.CauseEngine, 1.5,
 		},
-		"another's part went first": {
+		"overtaken by a part of another prompt": {
 			[]string{
 				sent(0, "a", `"EstimateMs":100`), answered(1000, `"AgeMs":1000,"FirstMs":350`),
 				at(50, "two", `"message":"request sent","Request":"b","Replica":"e2","Helpers":["e1"]`),
 			},
-			loss.CausePassed, 1.5,
+			loss.CauseOvertaken, 1.5,
 		},
-		"another's read in the pause": {
+		"another prompt sent to the engine during the pause": {
 			[]string{
 				sent(0, "a", `"EstimateMs":100`), answered(1000, `"AgeMs":1000,"FirstMs":120,"PauseMs":400,"PauseAtMs":700`),
 				at(280, "two", `"message":"request sent","Request":"b","Replica":"e1"`),
 			},
-			loss.CauseRead, 1.5,
+			loss.CausePausedByRead, 1.5,
 		},
-		"nothing in the pause": {
+		"no other prompt sent during the pause": {
 			[]string{
 				sent(0, "a", `"EstimateMs":100`), answered(1000, `"AgeMs":1000,"FirstMs":120,"PauseMs":400,"PauseAtMs":700`),
 				at(900, "two", `"message":"request sent","Request":"b","Replica":"e1"`),
 			},
-			loss.CauseSilent, 1.5,
+			loss.CausePaused, 1.5,
 		},
-		"second attempt": {
+		"several attempts": {
 			[]string{sent(0, "a", `"EstimateMs":100`), sent(200, "a", `"EstimateMs":100`), answered(1000, `"AgeMs":1000,"FirstMs":350`)},
 			loss.CauseRepeated, 1.5,
 		},
-		"refused":       {[]string{at(200, "one", `"message":"request refused","Request":"a","Route":"short","Value":2,"Reason":"Overloaded","AgeMs":180`)}, loss.CauseRefused, 2},
-		"refused again": {[]string{at(200, "one", `"message":"request refused","Request":"a","Route":"short","Value":2,"Reason":"DeadlineExceeded","Back":true`)}, loss.CauseAgain, 2},
-		"instance died": {[]string{sent(0, "a", `"EstimateMs":100`), at(900, "one", `"message":"started"`)}, loss.CauseInstance, 0},
-		"other started": {[]string{sent(0, "a", `"EstimateMs":100`), at(900, "two", `"message":"started"`), answered(1000, `"AgeMs":1000,"FirstMs":120`)}, "", 0},
+		"refused":                  {[]string{at(200, "one", `"message":"request refused","Request":"a","Route":"short","Value":2,"Reason":"Overloaded","AgeMs":180`)}, loss.CauseRefused, 2},
+		"refused again":            {[]string{at(200, "one", `"message":"request refused","Request":"a","Route":"short","Value":2,"Reason":"DeadlineExceeded","Back":true`)}, loss.CauseRefusedAgain, 2},
+		"instance restarted":       {[]string{sent(0, "a", `"EstimateMs":100`), at(900, "one", `"message":"started"`)}, loss.CauseInstanceStopped, 0},
+		"another instance started": {[]string{sent(0, "a", `"EstimateMs":100`), at(900, "two", `"message":"started"`), answered(1000, `"AgeMs":1000,"FirstMs":120`)}, "", 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter measures what callers see: time to first token by service and length class, and the service-level
-// burn of every objective.
+// Package meter measures service levels as callers see them: time to first token by service and length class, and the
+// burn rate of every objective.
 package meter
 
 import (
@@ -15,13 +15,15 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Bounds of the latency histograms, in microseconds; two digits keep one at about 20 KB.
+// Bounds of the latency histograms.
 const (
+	// maxLatency is the maximum latency in microseconds.
 	maxLatency = int64(time.Hour / time.Microsecond)
-	digits     = 2
+	// significantDigits is the precision. With two digits a histogram takes about 20 KB.
+	significantDigits = 2
 )
 
-// checkPeriod is how often the alerts are looked at.
+// checkPeriod is how often the alerts are evaluated.
 const checkPeriod = burn.FineSpan
 
 // Observation is the end of one request as its caller saw it.
@@ -31,19 +33,19 @@
 	Organisation string
 	// Class is the length class, empty for plain services.
 	Class string
-	// Failed tells that the service owed an answer and did not give it whole.
+	// Failed is true if the service had to answer the request and did not answer it completely.
 	Failed bool
-	// FirstToken is the time to the first token, 0 if none came.
+	// FirstToken is the time to the first token, 0 if none arrived.
 	FirstToken time.Duration
-	// BetweenTokens is the mean gap between the tokens, 0 for answers of fewer than two.
+	// BetweenTokens is the mean time between tokens, 0 for answers of fewer than two.
 	BetweenTokens time.Duration
 }
 
 type latencyKey struct{ service, class string }
 
-// Meter gathers observations; its methods may be called from many goroutines.
+// Meter collects observations. It is safe for concurrent use.
 type Meter struct {
-	// Registry holds the instance's counters and timers.
+	// Registry holds the counters and timers of the Instance.
 	Registry metrics.Registry
 
 	mu         sync.Mutex
@@ -64,7 +66,7 @@
 	}
 }
 
-// Configure takes the objectives in force. The counts of an objective that stays the same go on.
+// Configure replaces the objectives. An objective that is unchanged keeps its counts.
 func (mt *Meter) Configure(cfg *decl.Config) {
 	mt.mu.Lock()
 	defer mt.mu.Unlock()
@@ -80,12 +82,12 @@
 	mt.objectives = cfg.Objectives
 }
 
-// Record takes one observation.
+// Record adds one observation.
 func (mt *Meter) Record(ob Observation) {
 	mt.mu.Lock()
 	defer mt.mu.Unlock()
 	for name, obj := range mt.objectives {
-		if good, counts := judge(obj, ob); counts {
+		if good, counts := evaluate(obj, ob); counts {
 			mt.trackers[name].Record(ob.At, good)
 		}
 	}
@@ -95,15 +97,15 @@
 	key := latencyKey{ob.Service, ob.Class}
 	histogram, ok := mt.latencies[key]
 	if !ok {
-		histogram = hdrhistogram.New(1, maxLatency, digits)
+		histogram = hdrhistogram.New(1, maxLatency, significantDigits)
 		mt.latencies[key] = histogram
 	}
 	_ = histogram.RecordValue(min(ob.FirstToken.Microseconds(), maxLatency))
 }
 
-// judge tells whether the observation counts for the objective, and whether it keeps it. A request that failed before
-// its first token broke the objective of that token too.
-func judge(obj decl.Objective, ob Observation) (good, counts bool) {
+// evaluate reports whether the observation meets the objective, and whether it counts for it at all. A request that
+// failed before its first token also violates the objectives of that token.
+func evaluate(obj decl.Objective, ob Observation) (good, counts bool) {
 	if !matches(obj.Service, ob.Service) || !matches(obj.Organisation, ob.Organisation) || !matches(obj.LengthClass, ob.Class) {
 		return false, false
 	}
@@ -118,8 +120,8 @@
 	return false, false
 }
 
-func matches(wanted, found string) bool {
-	return wanted == "" || wanted == found
+func matches(wanted, actual string) bool {
+	return wanted == "" || wanted == actual
 }
 
 // Run logs each change of an alert's state until the context ends.
--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -64,7 +64,7 @@
 }
 
 func TestMergeOverTheWire(t *testing.T) {
-	// Two instances each saw half of the failures; only together do they burn fast enough for an alert.
+	// Each of two Instances sees half of the failures. Only the merged counts burn fast enough for an alert.
 	var reports []meter.Report
 	for _, name := range []string{"entry-0", "entry-1"} {
 		mt := newMeter()
--- a/internal/meter/report.go
+++ b/internal/meter/report.go
@@ -11,12 +11,12 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Report is what one instance, or several together, measured.
+// Report holds the measurements of one or several Instances.
 type Report struct {
 	At time.Time
-	// Instances names whose figures are in it.
+	// Instances are the names of the Instances whose measurements are included.
 	Instances []string
-	// Missing names instances that gave no answer, so that a reader knows the report is partial.
+	// Missing are the names of the Instances that did not answer, so that a reader knows that the report is partial.
 	Missing    []string
 	Objectives []ObjectiveReport
 	Latencies  []LatencyReport
@@ -27,20 +27,20 @@
 	Name      string
 	Objective decl.Objective
 	Windows   []WindowReport
-	// Alert names the most urgent alert that fires, empty if none does.
+	// Alert is the name of the most urgent alert that fires, empty if none does.
 	Alert string
-	// Series is the last hour, a bucket a burn.FineSpan.
+	// Series has the buckets of the last hour, each burn.FineSpan long.
 	Series []burn.Bucket
 }
 
-// WindowReport is the count of one window.
+// WindowReport is the count and burn rate of one window.
 type WindowReport struct {
 	Window decl.Duration
 	Count  burn.Count
 	Rate   float64
 }
 
-// LatencyReport is the time to first token of one service and length class since the instances started.
+// LatencyReport is the time to first token of one service and length class since the Instances started.
 type LatencyReport struct {
 	Service string
 	Class   string
@@ -48,7 +48,7 @@
 	Microseconds *hdrhistogram.Snapshot
 }
 
-// Report returns the figures of one instance.
+// Report returns the measurements of this Instance.
 func (mt *Meter) Report(now time.Time, instance string) Report {
 	mt.mu.Lock()
 	defer mt.mu.Unlock()
@@ -77,14 +77,14 @@
 }
 
 func (rp *Report) sort() {
-	slices.SortFunc(rp.Objectives, func(one, two ObjectiveReport) int { return cmp.Compare(one.Name, two.Name) })
-	slices.SortFunc(rp.Latencies, func(one, two LatencyReport) int {
-		return cmp.Or(cmp.Compare(one.Service, two.Service), cmp.Compare(one.Class, two.Class))
+	slices.SortFunc(rp.Objectives, func(a, b ObjectiveReport) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(rp.Latencies, func(a, b LatencyReport) int {
+		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Class, b.Class))
 	})
 }
 
-// Merge returns the figures of several instances as one. Objectives that differ between instances, as they do while a
-// configuration comes into force, are kept under the newest report's wording.
+// Merge combines the reports of several Instances. While a configuration is rolled out, an objective can differ between
+// Instances; the definition in the last such report replaces the others, with its counts.
 func Merge(reports []Report) Report {
 	var all Report
 	objectives := map[string]ObjectiveReport{}
@@ -113,27 +113,27 @@
 	return all
 }
 
-func mergeObjective(one, two ObjectiveReport) ObjectiveReport {
-	if one.Name == "" || one.Objective != two.Objective {
-		return two
+func mergeObjective(a, b ObjectiveReport) ObjectiveReport {
+	if a.Name == "" || a.Objective != b.Objective {
+		return b
 	}
 	counts := burn.Counts{}
-	for _, wr := range append(slices.Clone(one.Windows), two.Windows...) {
+	for _, wr := range append(slices.Clone(a.Windows), b.Windows...) {
 		counts[wr.Window.Std()] = counts[wr.Window.Std()].Add(wr.Count)
 	}
-	return objectiveReport(one.Name, one.Objective, counts, mergeSeries(one.Series, two.Series))
+	return objectiveReport(a.Name, a.Objective, counts, mergeSeries(a.Series, b.Series))
 }
 
-func mergeSeries(one, two []burn.Bucket) []burn.Bucket {
+func mergeSeries(a, b []burn.Bucket) []burn.Bucket {
 	sums := map[int64]burn.Count{}
-	for _, bucket := range append(slices.Clone(one), two...) {
+	for _, bucket := range append(slices.Clone(a), b...) {
 		sums[bucket.Start] = sums[bucket.Start].Add(bucket.Count)
 	}
 	series := make([]burn.Bucket, 0, len(sums))
 	for start, count := range sums {
 		series = append(series, burn.Bucket{Start: start, Count: count})
 	}
-	slices.SortFunc(series, func(one, two burn.Bucket) int { return cmp.Compare(one.Start, two.Start) })
+	slices.SortFunc(series, func(a, b burn.Bucket) int { return cmp.Compare(a.Start, b.Start) })
 	return series
 }
 
@@ -147,12 +147,12 @@
 	latencies[key].Merge(part)
 }
 
-// Quantile returns a latency's value at the quantile in percent.
+// Quantile returns the latency at the quantile in percent.
 func (lr LatencyReport) Quantile(percent float64) time.Duration {
 	return time.Duration(hdrhistogram.Import(lr.Microseconds).ValueAtQuantile(percent)) * time.Microsecond
 }
 
-// Total returns how many requests a latency counts.
+// Total returns the number of requests in the histogram.
 func (lr LatencyReport) Total() int64 {
 	return hdrhistogram.Import(lr.Microseconds).TotalCount()
 }
--- a/internal/meter/serve.go
+++ b/internal/meter/serve.go
@@ -9,10 +9,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// headerTimeout bounds the head of a request for metrics.
+// headerTimeout limits the time to read the header of a request.
 const headerTimeout = 10 * time.Second
 
-// Serve serves the handler at an address of its own until the context ends. An empty address serves nothing.
+// Serve serves the handler at the address until the context ends. It does nothing if the address is empty.
 func Serve(ctx context.Context, address string, handler http.Handler) error {
 	if address == "" {
 		return nil
--- a/internal/meter/text.go
+++ b/internal/meter/text.go
@@ -9,22 +9,23 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// quantiles are those of the summaries in the text exposition format.
+// quantiles are the quantiles of the summaries in the text exposition format.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// WriteText writes the registry in the Prometheus text exposition format. The part of a name after the last capital
-// word of a family, as in "Requests.Refused.Overloaded", becomes its label "kind".
+// WriteText writes the registry in the Prometheus text exposition format. The first two parts of a name are the family;
+// what follows them, as Overloaded in "Requests.Refused.Overloaded", becomes the label "kind".
 func WriteText(out io.Writer, registry metrics.Registry) error {
 	var names []string
-	found := map[string]any{}
+	byName := map[string]any{}
 	registry.Each(func(name string, metric any) {
 		names = append(names, name)
-		found[name] = metric
+		byName[name] = metric
 	})
 	sort.Strings(names)
-	typed := map[string]bool{}
+	// declared holds the metrics whose TYPE line is written; the format allows one for each.
+	declared := map[string]bool{}
 	for _, name := range names {
-		if err := writeMetric(out, typed, name, found[name]); err != nil {
+		if err := writeMetric(out, declared, name, byName[name]); err != nil {
 			return err
 		}
 	}
@@ -41,32 +42,32 @@
 	return base, label
 }
 
-func writeMetric(out io.Writer, typed map[string]bool, name string, metric any) error {
+func writeMetric(out io.Writer, declared map[string]bool, name string, metric any) error {
 	base, label := family(name)
 	switch metric := metric.(type) {
 	case metrics.Counter:
-		return writeSample(out, typed, base+"_total", "counter", label, float64(metric.Count()))
+		return writeSample(out, declared, base+"_total", "counter", label, float64(metric.Count()))
 	case metrics.Gauge:
-		return writeSample(out, typed, base, "gauge", label, float64(metric.Value()))
+		return writeSample(out, declared, base, "gauge", label, float64(metric.Value()))
 	case metrics.GaugeFloat64:
-		return writeSample(out, typed, base, "gauge", label, metric.Value())
+		return writeSample(out, declared, base, "gauge", label, metric.Value())
 	case metrics.Timer:
-		return writeSummary(out, typed, base+"_seconds", label, metric.Snapshot(), 1e-9)
+		return writeSummary(out, declared, base+"_seconds", label, metric.Snapshot(), 1e-9)
 	}
 	return nil
 }
 
-func writeType(out io.Writer, typed map[string]bool, base, kind string) error {
-	if typed[base] {
+func writeType(out io.Writer, declared map[string]bool, base, kind string) error {
+	if declared[base] {
 		return nil
 	}
-	typed[base] = true
+	declared[base] = true
 	_, err := fmt.Fprintf(out, "# TYPE %s %s\n", base, kind)
 	return err
 }
 
-func writeSample(out io.Writer, typed map[string]bool, base, kind, label string, value float64) error {
-	if err := writeType(out, typed, base, kind); err != nil {
+func writeSample(out io.Writer, declared map[string]bool, base, kind, label string, value float64) error {
+	if err := writeType(out, declared, base, kind); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(out, "%s%s %g\n", base, labels(label, ""), value)
@@ -87,8 +88,8 @@
 	return "{" + strings.Join(parts, ",") + "}"
 }
 
-func writeSummary(out io.Writer, typed map[string]bool, base, label string, timer metrics.Timer, scale float64) error {
-	if err := writeType(out, typed, base, "summary"); err != nil {
+func writeSummary(out io.Writer, declared map[string]bool, base, label string, timer metrics.Timer, scale float64) error {
+	if err := writeType(out, declared, base, "summary"); err != nil {
 		return err
 	}
 	for i, value := range timer.Percentiles(quantiles) {
--- a/internal/model/bound.go
+++ b/internal/model/bound.go
@@ -7,80 +7,84 @@
 	"dandelionsail.example/dandelionsail/internal/steer"
 )
 
-// Bound is what no policy earns more than: prompts are read by all engines at once or by any part of them, in any order and
-// with pauses, nothing is written, no stream pauses, no memory is full and all is known beforehand. What is left is that
-// engines have so much time, and that each prompt is read between its arrival and its goal. A prompt that is read in part
-// earns that part. The time is in slots of boundSlot; a request may use the whole of its first and last one.
+// Bound returns an upper bound of Result.Whole, the share of the offered worth that a policy can earn. It assumes that
+// any number of engines can prefill a prompt together, in any order and with interruptions, that decoding takes no time,
+// that no stream pauses, that memory is never full and that all arrivals are known beforehand. What remains are the
+// engines' total time and that each prompt is prefilled between its arrival and its goal. A prompt that is prefilled in
+// part earns that part of its worth. Time is divided into slots of boundSlot; a request may use the whole of its first
+// and last slot.
 func Bound(sc *Scenario, seed uint64) float64 {
-	works := demand(sc, seed)
-	slices.SortStableFunc(works, func(one, two demanded) int {
-		return cmp.Compare(two.worth/max(two.time, finest), one.worth/max(one.time, finest))
+	demands := promptDemands(sc, seed)
+	slices.SortStableFunc(demands, func(a, b promptDemand) int {
+		return cmp.Compare(b.worth/max(b.time, minTime), a.worth/max(a.time, minTime))
 	})
-	slots := int((sc.Seconds+settling)*1000/boundSlot) + 1
+	slots := int((sc.Seconds+settleSeconds)*1000/boundSlot) + 1
 	capacity := float64(sc.Engines) * boundSlot
-	var accepted []demanded
-	owed, earned := 0.0, 0.0
-	for _, wk := range works {
-		owed += wk.worth
-		part := fits(accepted, wk, slots, capacity)
-		earned += wk.worth * (wk.late + (1-wk.late)*part)
+	var accepted []promptDemand
+	offered, earned := 0.0, 0.0
+	for _, dm := range demands {
+		offered += dm.worth
+		part := feasiblePart(accepted, dm, slots, capacity)
+		earned += dm.worth * (dm.late + (1-dm.late)*part)
 		if part > 0 {
-			wk.time *= part
-			accepted = append(accepted, wk)
+			dm.time *= part
+			accepted = append(accepted, dm)
 		}
 	}
-	if owed == 0 {
+	if offered == 0 {
 		return 1
 	}
-	return earned / owed
+	return earned / offered
 }
 
 const (
-	// boundSlot is in ms, finest the least time that counts.
+	// boundSlot is the length of a time slot in ms.
 	boundSlot = 250.0
-	finest    = 0.01
-	// halvings is how finely the part of a prompt is found that can be read.
-	halvings = 7
+	// minTime is the smallest time in ms that is not treated as 0.
+	minTime = 0.01
+	// bisections is the number of bisection steps that search for the part of a prompt that can be prefilled in time.
+	bisections = 7
 )
 
-// demanded is one prompt: what it takes in ms of engine time, in which slots, and what it earns.
-type demanded struct {
+// promptDemand is the demand of one prompt: its engine time in ms, the slots in which it can be prefilled, and its worth.
+type promptDemand struct {
 	time        float64
 	first, last int
 	worth       float64
-	// late is the part of its worth that a late answer earns.
+	// late is the share of its worth that a late answer earns.
 	late float64
 }
 
-// demand lists the prompts of a run, which arrive as they do in Run.
-func demand(sc *Scenario, seed uint64) []demanded {
+// promptDemands lists the prompts of a run, with the same arrivals as in Run.
+func promptDemands(sc *Scenario, seed uint64) []promptDemand {
 	wd := newWorld(sc, steer.DefaultTuning(), seed)
-	var works []demanded
-	wd.arrive(func(index int) {
-		cl := wd.draw(index)
+	var demands []promptDemand
+	wd.scheduleArrivals(func(index int) {
+		cl := wd.newCall(index)
 		if cl.prompt == 0 {
 			return
 		}
 		at := ms(wd.now.Sub(epoch))
-		works = append(works, demanded{
+		demands = append(demands, promptDemand{
 			time:  sc.Engine.Reading(cl.prompt, 1).Alone(&sc.Engine),
 			first: int(at / boundSlot), last: int((at + cl.class.Goal) / boundSlot),
 			worth: cl.worth, late: cl.class.LateWorth / cl.class.Worth,
 		})
 	})
-	wd.play()
-	return works
+	wd.runEvents()
+	return demands
 }
 
-// fits is the part of the prompt that can be read beside those that were accepted.
-func fits(accepted []demanded, wk demanded, slots int, capacity float64) float64 {
-	if schedules(accepted, wk, 1, slots, capacity) {
+// feasiblePart returns the largest part of the prompt, up to the precision of bisections, that can be prefilled by its
+// goal in addition to the accepted ones.
+func feasiblePart(accepted []promptDemand, dm promptDemand, slots int, capacity float64) float64 {
+	if feasible(accepted, dm, 1, slots, capacity) {
 		return 1
 	}
 	low, high := 0.0, 1.0
-	for range halvings {
+	for range bisections {
 		middle := (low + high) / 2
-		if schedules(accepted, wk, middle, slots, capacity) {
+		if feasible(accepted, dm, middle, slots, capacity) {
 			low = middle
 		} else {
 			high = middle
@@ -89,28 +93,29 @@
 	return low
 }
 
-// schedules tells whether all can be read by their goals: the one whose goal is next goes first, which finds a way if there
-// is one.
-func schedules(accepted []demanded, wk demanded, part float64, slots int, capacity float64) bool {
-	wk.time *= part
-	// Only those that share slots with it, at the end of a chain of others, can be in its way; all are tried.
-	works := append(slices.Clone(accepted), wk)
-	slices.SortStableFunc(works, func(one, two demanded) int { return cmp.Compare(one.first, two.first) })
-	var waiting []demanded
+// feasible reports whether all prompts can be prefilled by their goals. It schedules the earliest goal first, which finds
+// a feasible schedule if one exists.
+func feasible(accepted []promptDemand, dm promptDemand, part float64, slots int, capacity float64) bool {
+	dm.time *= part
+	// Any accepted prompt can conflict with the new one through a chain of shared slots, so the whole schedule is
+	// checked.
+	demands := append(slices.Clone(accepted), dm)
+	slices.SortStableFunc(demands, func(a, b promptDemand) int { return cmp.Compare(a.first, b.first) })
+	var waiting []promptDemand
 	next := 0
 	for slot := range slots {
-		for next < len(works) && works[next].first <= slot {
-			waiting = append(waiting, works[next])
+		for next < len(demands) && demands[next].first <= slot {
+			waiting = append(waiting, demands[next])
 			next++
 		}
-		slices.SortStableFunc(waiting, func(one, two demanded) int { return cmp.Compare(one.last, two.last) })
+		slices.SortStableFunc(waiting, func(a, b promptDemand) int { return cmp.Compare(a.last, b.last) })
 		left := capacity
 		done := 0
 		for i := range waiting {
 			use := min(left, waiting[i].time)
 			waiting[i].time -= use
 			left -= use
-			if waiting[i].time > finest {
+			if waiting[i].time > minTime {
 				break
 			}
 			done++
@@ -123,11 +128,11 @@
 	return true
 }
 
-// AllKnowing is the scenario with one instance that hears of everything at once, which is what the same decisions earn where
-// nothing is late or unknown.
+// AllKnowing returns the scenario with a single instance and almost no delay. Its result is what the same decisions earn
+// if no information is late or missing.
 func AllKnowing(sc *Scenario) *Scenario {
-	known := *sc
-	known.Name += ", all known"
-	known.Instances, known.NoteDelay, known.NoteLoss = 1, 0.01, 0
-	return &known
+	ideal := *sc
+	ideal.Name += ", all known"
+	ideal.Instances, ideal.NoteDelay, ideal.NoteLoss = 1, 0.01, 0
+	return &ideal
 }
--- a/internal/model/caller.go
+++ b/internal/model/caller.go
@@ -9,17 +9,19 @@
 )
 
 const (
-	// leastGiven is the part of its route's time that a caller says it has at the least; they differ so much.
-	leastGiven = 0.85
-	// redial is the wait in ms of a caller whose connection broke or found nobody, before it tries again.
-	redial = 300.0
-	// leastWait, waitGoals and waitGaps are how long callers wait for an event.
-	leastWait = 2000.0
-	waitGoals = 4
-	waitGaps  = 8
+	// minTimeoutShare is the smallest share of its route's timeout that a caller allows; callers' timeouts vary by that much.
+	minTimeoutShare = 0.85
+	// reconnectDelay is the time in ms that a caller waits before a retry if its connection broke or the instance was down.
+	reconnectDelay = 300.0
+	// minEventWait is the minimum time in ms that a caller waits for the next event of a stream.
+	minEventWait = 2000.0
+	// eventWaitGoals is the number of the class's goals that a caller waits for an event, if that is longer.
+	eventWaitGoals = 4
+	// eventWaitGaps is the number of the class's gaps that a caller waits for an event, if that is longer.
+	eventWaitGaps = 8
 )
 
-// call is what one caller wants, over all its tries.
+// call is what one caller asks for, over all requests that it sends for it.
 type call struct {
 	wd     *world
 	class  *Class
@@ -29,81 +31,86 @@
 	answer int64
 	events int
 	worth  float64
-	// given is the time that the caller has, in ms.
-	given  float64
-	digest steer.Digest
-	tries  int
-	// first and last are when the first and the last event came, pause the longest between two.
-	first, last time.Time
-	pause       time.Duration
-	over        bool
-	ended       ending
+	// timeout is the time in ms that the caller allows for the call, retries included.
+	timeout float64
+	digest  steer.Digest
+	// requests is the number of requests that were sent so far.
+	requests int
+	// first is when the first event reached the caller.
+	first time.Time
+	// last is when the latest event reached the caller.
+	last time.Time
+	// pause is the longest time between two events.
+	pause   time.Duration
+	done    bool
+	outcome outcome
 }
 
-// ending is how a call ended.
-type ending int
+// outcome is how a call ended.
+type outcome int
 
 const (
-	endedOpen ending = iota
-	endedInTime
-	endedLate
-	endedRefused
-	endedFailed
+	outcomeOpen outcome = iota
+	outcomeInTime
+	outcomeLate
+	outcomeRefused
+	outcomeFailed
 )
 
-// begin makes the caller's next try at an instance drawn by chance.
-func (cl *call) begin() {
-	if cl.over {
+// sendRequest sends the caller's next request, to a randomly chosen instance.
+func (cl *call) sendRequest() {
+	if cl.done {
 		return
 	}
-	left := cl.given - ms(cl.wd.now.Sub(cl.at))
+	left := cl.timeout - ms(cl.wd.now.Sub(cl.at))
 	if left <= 1 {
-		cl.end(endedFailed)
+		cl.finish(outcomeFailed)
 		return
 	}
 	in := cl.wd.instances[cl.wd.random.IntN(len(cl.wd.instances))]
 	if in == nil {
-		cl.wd.after(redial, cl.begin)
+		cl.wd.after(reconnectDelay, cl.sendRequest)
 		return
 	}
-	cl.tries++
-	in.next++
-	tr := &try{call: cl, id: in.next}
-	in.calls[tr.id] = tr
+	cl.requests++
+	in.lastID++
+	req := &request{call: cl, id: in.lastID}
+	in.requests[req.id] = req
 	now := cl.wd.now
-	tr.until = now.Add(millis(min(left, cl.class.Timeout)))
-	patience := tr.until
-	wait := max(leastWait, waitGoals*cl.class.Goal, waitGaps*cl.class.Gap)
-	if at := now.Add(millis(wait)); cl.route.Stream && at.Before(patience) {
-		patience = at
+	req.deadline = now.Add(millis(min(left, cl.class.Timeout)))
+	leavesAt := req.deadline
+	wait := max(minEventWait, eventWaitGoals*cl.class.Goal, eventWaitGaps*cl.class.Gap)
+	if at := now.Add(millis(wait)); cl.route.Stream && at.Before(leavesAt) {
+		leavesAt = at
 	}
 	in.reduce(steer.Arrived{
-		ID: tr.id, Route: cl.route, Name: cl.class.Name, Prompt: cl.prompt, Answer: cl.answer, Deadline: tr.until,
-		LeavesAt: patience, StatedTimeout: millis(left), Digest: cl.digest,
+		ID: req.id, Route: cl.route, Name: cl.class.Name, Prompt: cl.prompt, Answer: cl.answer, Deadline: req.deadline,
+		LeavesAt: leavesAt, StatedTimeout: millis(left), Digest: cl.digest,
 	})
-	cl.wd.after(ms(tr.until.Sub(now)), func() { in.expire(tr) })
+	cl.wd.after(ms(req.deadline.Sub(now)), func() { in.expire(req) })
 	if cl.route.Stream {
-		cl.watch(in, tr, now, wait)
+		cl.watchEvents(in, req, now, wait)
 	}
 }
 
-// watch makes a caller leave that has had no event for so many ms since a moment.
-func (cl *call) watch(in *instance, tr *try, since time.Time, wait float64) {
+// watchEvents cancels the caller's request if no event arrives within wait ms after since, and otherwise checks again
+// after the latest event.
+func (cl *call) watchEvents(in *instance, req *request, since time.Time, wait float64) {
 	left := wait - ms(cl.wd.now.Sub(since))
 	cl.wd.after(left, func() {
 		switch {
-		case cl.over || tr.over:
-		case tr.last.After(since):
-			cl.watch(in, tr, tr.last, wait)
+		case cl.done || req.done:
+		case req.last.After(since):
+			cl.watchEvents(in, req, req.last, wait)
 		default:
-			cl.end(endedFailed)
-			in.reduce(steer.CallerGone{ID: tr.id})
+			cl.finish(outcomeFailed)
+			in.reduce(steer.CallerGone{ID: req.id})
 		}
 	})
 }
 
-// event notes an event that reached the caller.
-func (cl *call) event() {
+// recordEvent records that an event reached the caller.
+func (cl *call) recordEvent() {
 	now := cl.wd.now
 	if cl.first.IsZero() {
 		cl.first = now
@@ -113,57 +120,57 @@
 	cl.last = now
 }
 
-// finished ends a try.
-func (cl *call) finished(tr *try, fin steer.Finish) {
-	tr.over = true
-	if cl.over {
+// requestFinished handles the end of a request: the caller retries, or its call ends.
+func (cl *call) requestFinished(req *request, fin steer.Finish) {
+	req.done = true
+	if cl.done {
 		return
 	}
 	switch {
-	case fin.Refusal != nil && fin.Refusal.NotRun && cl.tries == 1:
+	case fin.Refusal != nil && fin.Refusal.NotRun && cl.requests == 1:
 		cl.wd.result.Refusals++
-		left := cl.given - ms(cl.wd.now.Sub(cl.at))
-		cl.wd.after(max(1, min(ms(fin.Refusal.RetryAfter), left/3)), cl.begin)
+		left := cl.timeout - ms(cl.wd.now.Sub(cl.at))
+		cl.wd.after(max(1, min(ms(fin.Refusal.RetryAfter), left/3)), cl.sendRequest)
 	case fin.Refusal != nil && fin.Refusal.NotRun:
 		cl.wd.result.Again += cl.worth
-		cl.end(endedRefused)
+		cl.finish(outcomeRefused)
 	case fin.Refusal != nil || fin.DeliverFailure:
-		if cl.tries == 1 && cl.route.Repeats != decl.RepeatsNone {
-			cl.wd.after(1, cl.begin)
+		if cl.requests == 1 && cl.route.Repeats != decl.RepeatsNone {
+			cl.wd.after(1, cl.sendRequest)
 			return
 		}
-		cl.end(endedFailed)
+		cl.finish(outcomeFailed)
 	case cl.first.Sub(cl.at) > millis(cl.class.Goal) || cl.class.Gap > 0 && cl.pause > millis(cl.class.Gap):
-		cl.end(endedLate)
+		cl.finish(outcomeLate)
 	default:
-		cl.end(endedInTime)
+		cl.finish(outcomeInTime)
 	}
 }
 
-// broke ends a try whose instance died: its caller goes on elsewhere.
-func (cl *call) broke(tr *try) {
-	tr.over = true
-	if cl.over {
+// connectionLost handles the stop of the request's instance: the caller retries at another one, or its call fails.
+func (cl *call) connectionLost(req *request) {
+	req.done = true
+	if cl.done {
 		return
 	}
-	if cl.tries > 1 || cl.route.Repeats == decl.RepeatsNone {
-		cl.end(endedFailed)
+	if cl.requests > 1 || cl.route.Repeats == decl.RepeatsNone {
+		cl.finish(outcomeFailed)
 		return
 	}
-	cl.wd.after(redial, cl.begin)
+	cl.wd.after(reconnectDelay, cl.sendRequest)
 }
 
-func (cl *call) end(how ending) {
-	cl.over = true
-	cl.ended = how
+func (cl *call) finish(how outcome) {
+	cl.done = true
+	cl.outcome = how
 	cl.wd.result.count(cl)
 }
 
-// draw makes the caller of a request that arrives now.
-func (wd *world) draw(index int) *call {
+// newCall creates a call of the class that arrives now, with random timeout and lengths.
+func (wd *world) newCall(index int) *call {
 	cls := &wd.sc.Classes[index]
 	cl := &call{wd: wd, class: cls, route: &wd.routing.Routes[index], at: wd.now, worth: cls.Worth}
-	cl.given = cls.Timeout * (leastGiven + (1-leastGiven)*wd.arrivals.Float64())
+	cl.timeout = cls.Timeout * (minTimeoutShare + (1-minTimeoutShare)*wd.arrivals.Float64())
 	wd.calls++
 	cl.digest = steer.Digest(wd.calls)
 	if cls.MeanPrompt == 0 {
@@ -173,17 +180,20 @@
 	cl.prompt = max(cl.prompt, 1)
 	cl.events = max(1, int(math.Round(min(cls.MaxEvents, logNormal(cls.MeanEvents, cls.EventSpread, wd.arrivals.NormFloat64())))))
 	cl.answer = int64(cl.events * wd.sc.Engine.Stride)
-	cl.worth = cls.Worth * min(mostTimes, fixedShare+(1-fixedShare)*float64(cl.prompt)/cls.MeanPrompt)
+	cl.worth = cls.Worth * min(maxWorthFactor, fixedWorthShare+(1-fixedWorthShare)*float64(cl.prompt)/cls.MeanPrompt)
 	return cl
 }
 
-// What a single answer is worth against the mean of its kind, as the users count it.
+// The worth of an answer relative to the mean of its class, as users value it.
 const (
-	fixedShare = 0.3
-	mostTimes  = 4.0
+	// fixedWorthShare is the share of the worth that does not depend on the length of the prompt.
+	fixedWorthShare = 0.3
+	// maxWorthFactor limits the worth to this multiple of the class's worth.
+	maxWorthFactor = 4.0
 )
 
-// logNormal draws with the mean and the spread of the logarithm from a standard normal draw.
+// logNormal turns a standard normal value into a log-normal one with the given mean. The spread is the standard deviation
+// of its logarithm.
 func logNormal(mean, spread, normal float64) float64 {
 	return mean * math.Exp(spread*normal-spread*spread/2)
 }
--- a/internal/model/draw.go
+++ b/internal/model/draw.go
@@ -8,9 +8,9 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Draw makes a deployment by chance: the number and size of engines, their pace, memory and slots, the mix of lengths, what
-// callers were promised and what answers are worth, instances, failure domains and bursts. A policy that fits one
-// deployment shows on others.
+// Draw returns a random deployment. It varies the number of engines and their speed, memory and slots, the mix of
+// lengths, the goals and worths, the instances, failure domains and bursts. Random deployments reveal policies that fit
+// only one deployment.
 func Draw(seed uint64) *Scenario {
 	random := rand.New(rand.NewPCG(seed, 77))
 	between := func(low, high float64) float64 { return low * math.Exp(random.Float64()*math.Log(high/low)) }
@@ -24,7 +24,7 @@
 		PerContext: between(0.001, 0.006), ReadRate: between(60, 400), PairCost: between(0.05, 0.4), Chunk: int64(whole(1024, 8192)),
 		Stride: whole(12, 60), Hop: 0.05, Helpers: 4 + random.IntN(13),
 	}
-	// A pass of a full engine stays well below what callers are promised, else nothing can be served in time.
+	// The goals are several times the duration of a pass on a full engine; otherwise no request could be served in time.
 	pass := float64(sc.Engine.Stride) * sc.Engine.StepTime(sc.Engine.Slots, 0)
 	sc.classes(random, between, pass)
 	sc.scale(between(0.35, 0.75))
@@ -38,7 +38,7 @@
 	return sc
 }
 
-// classes draws three kinds of prompts and two of plain calls.
+// classes draws three classes of prompts and two of plain calls.
 func (sc *Scenario) classes(random *rand.Rand, between func(low, high float64) float64, pass float64) {
 	means := []float64{between(1500, 9000), between(20_000, 70_000), between(90_000, 250_000)}
 	names := []string{"short", "middle", "long"}
@@ -59,7 +59,7 @@
 		sc.Classes = append(sc.Classes, cls)
 		worth *= between(2, 6)
 	}
-	// The shorter the prompts, the more often they come.
+	// Shorter prompts arrive more often.
 	sc.Classes[0].PerSecond *= 25
 	sc.Classes[1].PerSecond *= 1.6
 	sc.Classes = append(sc.Classes,
@@ -67,7 +67,7 @@
 		Class{Name: "lookup", PerSecond: 3, Work: 15, ErrorShare: 0.1, Goal: 100, Timeout: 600, Attempts: 2, Repeats: decl.RepeatsAny, Worth: 1, LateWorth: 0.3})
 }
 
-// scale makes the prompts take the share of all engines' time on average, reading and writing.
+// scale sets the rates of the prompts so that prefill and decode use the given share of all engines' time on average.
 func (sc *Scenario) scale(share float64) {
 	used := 0.0
 	for i := range sc.Classes {
@@ -83,8 +83,8 @@
 	}
 }
 
-// cost is the engine time in ms of a mean request of the class: the reading, whose square follows from the spread, and its
-// part of the passes in which it is written.
+// cost returns the engine time in ms of a mean request of the class: its prefill, in which the mean of the squared length
+// follows from the spread, and its share of the passes that decode its answer.
 func (sc *Scenario) cost(cls *Class) float64 {
 	eng := &sc.Engine
 	rd := eng.Reading(int64(cls.MeanPrompt), 1)
--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -8,91 +8,98 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// engine works in passes: what waits when a pass begins is read in it, parts for others' prompts first and the newest of
-// them before the others, then everybody who writes gets the tokens of one event, and all events leave at the pass's end.
-// Without writers a pass is one step.
+// engine models a model engine that works in passes. A pass prefills parts that were waiting when it began: first the
+// parts of prompts that other engines answer, newest first, then those of its own prompts. Each attempt that is being
+// decoded gets the tokens of one event, and all events leave at the end of the pass. If nothing is being decoded, a pass
+// is one step.
 type engine struct {
 	wd      *world
 	replica steer.Replica
-	// index counts the engines from 0.
+	// index is the number of the engine, from 0.
 	index int
-	// queue holds what has no slot or no memory yet, parts what is to be read, writers what is written.
-	queue   []*run
-	parts   []*part
-	writers []*run
-	// slots and tokens are what is taken.
-	slots  int
-	tokens int64
-	busy   bool
-}
-
-// run is one request at the engine that answers it.
-type run struct {
+	// queue holds attempts that wait for a slot or memory.
+	queue []*attempt
+	// parts holds what is left to prefill, for this engine's prompts and for others'.
+	parts []*part
+	// writers holds the attempts whose answers are being decoded.
+	writers []*attempt
+	// usedSlots is the number of occupied slots.
+	usedSlots int
+	// usedTokens is the occupied memory in tokens, including what is reserved for prompts of other engines.
+	usedTokens int64
+	// busy is true during a pass.
+	busy bool
+}
+
+// attempt is one attempt to answer a request at a replica.
+type attempt struct {
 	eng      *engine
 	instance *instance
 	send     steer.Send
-	// call is the request that it answers.
+	// call is the call that the attempt answers.
 	call *call
-	// unread counts the parts that are not read yet.
-	unread  int
-	parts   []*part
-	tickets []ticket
+	// unread is the number of parts of the prompt that are not prefilled yet.
+	unread       int
+	parts        []*part
+	reservations []reservation
+	// context is the part of the prompt that the engine holds, in tokens.
 	context int64
-	tokens  int64
-	events  int
-	cut     bool
-	admit   bool
+	// tokens is the engine's memory that the attempt occupies.
+	tokens   int64
+	events   int
+	ended    bool
+	admitted bool
 }
 
-// ticket is memory that a helper sets aside.
-type ticket struct {
+// reservation is memory that a helper reserves for a prompt that another engine answers.
+type reservation struct {
 	eng    *engine
 	tokens int64
 }
 
-// part is what one engine reads of a prompt.
+// part is the share of a prompt's prefill that one engine does. help marks that another engine answers the prompt.
 type part struct {
-	eng  *engine
-	run  *run
-	help bool
-	left decl.Reading
+	eng     *engine
+	attempt *attempt
+	help    bool
+	left    decl.Reading
 }
 
-// arrive takes a request, which waits where no slot or memory is free.
-func (en *engine) arrive(rn *run) {
-	if rn.cut {
+// enqueue adds an attempt, which waits until a slot and enough memory are free.
+func (en *engine) enqueue(att *attempt) {
+	if att.ended {
 		return
 	}
-	en.queue = append(en.queue, rn)
+	en.queue = append(en.queue, att)
 	en.admitAll()
 }
 
 func (en *engine) admitAll() {
 	for len(en.queue) > 0 {
-		rn := en.queue[0]
-		if en.slots >= en.wd.sc.Engine.Slots || en.tokens+rn.tokens > en.wd.sc.Engine.Memory {
+		att := en.queue[0]
+		if en.usedSlots >= en.wd.sc.Engine.Slots || en.usedTokens+att.tokens > en.wd.sc.Engine.Memory {
 			return
 		}
 		en.queue = en.queue[1:]
-		rn.admit = true
-		en.slots++
-		en.tokens += rn.tokens
-		for _, pt := range rn.parts {
-			pt.eng.read(pt)
+		att.admitted = true
+		en.usedSlots++
+		en.usedTokens += att.tokens
+		for _, pt := range att.parts {
+			pt.eng.addPart(pt)
 		}
 	}
 }
 
-func (en *engine) read(pt *part) {
+func (en *engine) addPart(pt *part) {
 	en.parts = append(en.parts, pt)
 	if !en.busy {
-		en.pass()
+		en.startPass()
 	}
 }
 
-// pass begins the next pass, if there is anything to do.
-func (en *engine) pass() {
-	figs := &en.wd.sc.Engine
+// startPass starts the next pass if there is any work.
+func (en *engine) startPass() {
+	eng := &en.wd.sc.Engine
 	if len(en.parts) == 0 && len(en.writers) == 0 {
 		en.busy = false
 		return
@@ -101,16 +108,16 @@
 	steps, length := 1.0, 0.0
 	if len(en.writers) > 0 {
 		var contexts int64
-		for _, rn := range en.writers {
-			contexts += rn.context
+		for _, att := range en.writers {
+			contexts += att.context
 		}
-		steps = float64(figs.Stride)
-		length = steps * figs.StepTime(len(en.writers), contexts)
+		steps = float64(eng.Stride)
+		length = steps * eng.StepTime(len(en.writers), contexts)
 	} else {
-		length = figs.Step
+		length = eng.Step
 	}
 	var done []*part
-	for _, pt := range en.inOrder() {
+	for _, pt := range en.readOrder() {
 		if steps <= 0 {
 			break
 		}
@@ -125,11 +132,11 @@
 			done = append(done, pt)
 		}
 	}
-	en.wd.after(length*en.slowness(), func() { en.passed(done) })
+	en.wd.after(length*en.slowdownFactor(), func() { en.endPass(done) })
 }
 
-// slowness is how many times longer than declared the engine takes now.
-func (en *engine) slowness() float64 {
+// slowdownFactor returns the factor by which passes currently take longer than declared.
+func (en *engine) slowdownFactor() float64 {
 	times := 1.0
 	at := en.wd.now.Sub(epoch).Seconds()
 	for _, slow := range en.wd.sc.Slowdowns {
@@ -140,8 +147,8 @@
 	return times
 }
 
-// inOrder lists the parts as they are read.
-func (en *engine) inOrder() []*part {
+// readOrder lists the parts in the order in which they are prefilled.
+func (en *engine) readOrder() []*part {
 	var order []*part
 	for _, pt := range slices.Backward(en.parts) {
 		if pt.help {
@@ -156,90 +163,91 @@
 	return order
 }
 
-// passed ends a pass: its events leave, and what was read begins to be written.
-func (en *engine) passed(done []*part) {
-	for _, rn := range slices.Clone(en.writers) {
-		en.event(rn)
+// endPass ends a pass: it sends an event of each attempt being decoded, and starts to decode the attempts whose whole
+// prompt is now prefilled.
+func (en *engine) endPass(done []*part) {
+	for _, att := range slices.Clone(en.writers) {
+		en.sendEvent(att)
 	}
 	for _, pt := range done {
 		en.parts = slices.DeleteFunc(en.parts, func(other *part) bool { return other == pt })
-		pt.run.unread--
-		if pt.run.unread == 0 && !pt.run.cut {
-			first := pt.run.eng
-			first.writers = append(first.writers, pt.run)
-			first.event(pt.run)
+		pt.attempt.unread--
+		if pt.attempt.unread == 0 && !pt.attempt.ended {
+			first := pt.attempt.eng
+			first.writers = append(first.writers, pt.attempt)
+			first.sendEvent(pt.attempt)
 			if first != en && !first.busy {
-				first.pass()
+				first.startPass()
 			}
 		}
 	}
-	en.pass()
+	en.startPass()
 }
 
-// event sends the next event of an answer and ends it with the last.
-func (en *engine) event(rn *run) {
-	if rn.cut {
+// sendEvent sends the next event of an answer. After the last one the attempt leaves the engine.
+func (en *engine) sendEvent(att *attempt) {
+	if att.ended {
 		return
 	}
-	rn.events--
-	last := rn.events <= 0
-	en.wd.after(en.wd.sc.NoteDelay, func() { rn.instance.event(rn, last) })
+	att.events--
+	last := att.events <= 0
+	en.wd.after(en.wd.sc.NoteDelay, func() { att.instance.forwardEvent(att, last) })
 	if last {
-		en.drop(rn)
+		en.remove(att)
 	}
 }
 
-// drop ends a request at its engines.
-func (en *engine) drop(rn *run) {
-	rn.cut = true
-	en.queue = slices.DeleteFunc(en.queue, func(other *run) bool { return other == rn })
-	en.writers = slices.DeleteFunc(en.writers, func(other *run) bool { return other == rn })
-	for _, tk := range rn.tickets {
-		tk.eng.tokens -= tk.tokens
-		tk.eng.admitAll()
+// remove removes an attempt that is complete, cancelled or expired from all its engines and frees its slot and memory.
+func (en *engine) remove(att *attempt) {
+	att.ended = true
+	en.queue = slices.DeleteFunc(en.queue, func(other *attempt) bool { return other == att })
+	en.writers = slices.DeleteFunc(en.writers, func(other *attempt) bool { return other == att })
+	for _, rsv := range att.reservations {
+		rsv.eng.usedTokens -= rsv.tokens
+		rsv.eng.admitAll()
 	}
-	rn.tickets = nil
-	for _, pt := range rn.parts {
+	att.reservations = nil
+	for _, pt := range att.parts {
 		pt.eng.parts = slices.DeleteFunc(pt.eng.parts, func(other *part) bool { return other == pt })
 	}
-	if rn.admit {
-		rn.admit = false
-		en.slots--
-		en.tokens -= rn.tokens
+	if att.admitted {
+		att.admitted = false
+		en.usedSlots--
+		en.usedTokens -= att.tokens
 		en.admitAll()
 	}
 }
 
-// plain is a replica of the plain service.
-type plain struct {
+// plainReplica models a replica of the plain service.
+type plainReplica struct {
 	wd      *world
 	replica steer.Replica
-	queue   []*run
+	queue   []*attempt
 	running int
 }
 
-func (pl *plain) arrive(rn *run) {
-	pl.queue = append(pl.queue, rn)
-	pl.next()
+func (pl *plainReplica) enqueue(att *attempt) {
+	pl.queue = append(pl.queue, att)
+	pl.startQueued()
 }
 
-func (pl *plain) next() {
+func (pl *plainReplica) startQueued() {
 	for pl.running < pl.wd.sc.PlainSlots && len(pl.queue) > 0 {
-		rn := pl.queue[0]
+		att := pl.queue[0]
 		pl.queue = pl.queue[1:]
-		if rn.cut {
+		if att.ended {
 			continue
 		}
 		pl.running++
-		cls := rn.call.class
+		cls := att.call.class
 		work := cls.Work * (0.5 + pl.wd.random.ExpFloat64()/2)
 		failed := pl.wd.random.Float64() < cls.ErrorShare
 		pl.wd.after(work, func() {
 			pl.running--
-			pl.wd.after(pl.wd.sc.NoteDelay, func() { rn.instance.answered(rn, failed) })
-			pl.next()
+			pl.wd.after(pl.wd.sc.NoteDelay, func() { att.instance.endPlainAttempt(att, failed) })
+			pl.startQueued()
 		})
 	}
 }
 
-func millis(figure float64) time.Duration { return time.Duration(figure * float64(time.Millisecond)) }
+func millis(value float64) time.Duration { return time.Duration(value * float64(time.Millisecond)) }
--- a/internal/model/instance.go
+++ b/internal/model/instance.go
@@ -6,38 +6,42 @@
 	"dandelionsail.example/dandelionsail/internal/steer"
 )
 
-// The times of the relay's shell, by which a reducer is told that time passes.
+// Periods of the events by which the relay tells a reducer that time passes.
 const (
-	tickPeriod    = 200.0
+	// tickPeriod is the period of steer.Ticked in ms.
+	tickPeriod = 200.0
+	// summaryPeriod is the period of steer.Summarized in ms.
 	summaryPeriod = 1000.0
 )
 
-// instance is one run of an instance.
+// instance is one Instance from its start until it is stopped; a restart creates a new one.
 type instance struct {
-	wd    *world
-	name  string
-	state *steer.State
-	calls map[steer.RequestID]*try
-	next  steer.RequestID
-	dead  bool
+	wd       *world
+	name     string
+	state    *steer.State
+	requests map[steer.RequestID]*request
+	lastID   steer.RequestID
+	stopped  bool
 }
 
-// try is one attempt of a caller at an instance.
-type try struct {
-	call *call
-	id   steer.RequestID
-	run  *run
-	// begun tells that the caller has some of the answer; last is when the last event came.
+// request is one request of a caller to an instance.
+type request struct {
+	call    *call
+	id      steer.RequestID
+	attempt *attempt
+	// begun is true once the caller received an event.
 	begun bool
-	last  time.Time
-	pause time.Duration
-	until time.Time
-	over  bool
+	// last is when the latest event of the current attempt arrived.
+	last time.Time
+	// pause is the longest time between two events of the current attempt.
+	pause    time.Duration
+	deadline time.Time
+	done     bool
 }
 
-// reduce hands an event to the reducer and carries out its effects.
+// reduce passes an event to the reducer and performs the effects that it returns.
 func (in *instance) reduce(ev steer.Event) {
-	if in.dead {
+	if in.stopped {
 		return
 	}
 	effects := append([]steer.Effect{}, in.state.Reduce(in.wd.now, ev)...)
@@ -53,154 +57,155 @@
 	case steer.Abort:
 		in.wd.after(0, func() { in.abort(eff.ID) })
 	case steer.Finish:
-		if tr, ok := in.calls[eff.ID]; ok {
-			delete(in.calls, eff.ID)
-			in.wd.after(in.wd.sc.NoteDelay, func() { tr.call.finished(tr, eff) })
+		if req, ok := in.requests[eff.ID]; ok {
+			delete(in.requests, eff.ID)
+			in.wd.after(in.wd.sc.NoteDelay, func() { req.call.requestFinished(req, eff) })
 		}
 	case steer.SendNote:
-		in.wd.tell(in, eff)
+		in.wd.deliverNote(in, eff)
 	case steer.Wake:
 		in.wd.after(ms(eff.After), func() { in.reduce(steer.Ticked{}) })
 	case steer.QueryLoad:
 		for _, rep := range eff.Replicas {
-			in.wd.after(2*in.wd.sc.NoteDelay, func() { in.surveyed(rep) })
+			in.wd.after(2*in.wd.sc.NoteDelay, func() { in.reportLoad(rep) })
 		}
 	}
 }
 
-func (in *instance) surveyed(rep steer.Replica) {
+func (in *instance) reportLoad(rep steer.Replica) {
 	en := in.wd.engines[rep.Name]
 	if en == nil {
 		return
 	}
-	in.reduce(steer.LoadReported{Replica: rep.Name, Running: en.slots + len(en.queue), Used: en.tokens})
+	in.reduce(steer.LoadReported{Replica: rep.Name, Running: en.usedSlots + len(en.queue), Used: en.usedTokens})
 }
 
-// send brings an attempt to its replica.
+// send sends an attempt to its replica.
 func (in *instance) send(eff steer.Send) {
-	tr := in.calls[eff.ID]
-	rn := &run{instance: in, send: eff, call: tr.call}
-	tr.run = rn
-	tr.last, tr.pause = time.Time{}, 0
+	req := in.requests[eff.ID]
+	att := &attempt{instance: in, send: eff, call: req.call}
+	req.attempt = att
+	req.last, req.pause = time.Time{}, 0
 	if pl, ok := in.wd.plains[eff.Replica.Name]; ok {
-		in.wd.after(in.wd.sc.NoteDelay, func() { pl.arrive(rn) })
+		in.wd.after(in.wd.sc.NoteDelay, func() { pl.enqueue(att) })
 		return
 	}
 	en := in.wd.engines[eff.Replica.Name]
-	rn.eng = en
-	rn.events = tr.call.events
-	rn.tokens = tr.call.prompt + tr.call.answer
+	att.eng = en
+	att.events = req.call.events
+	att.tokens = req.call.prompt + req.call.answer
 	count := len(eff.Helpers) + 1
-	rn.context = tr.call.prompt / int64(count)
-	rn.unread = count
-	whole := in.wd.sc.Engine.Reading(tr.call.prompt, count)
-	rn.parts = append(rn.parts, &part{eng: en, run: rn, left: whole})
+	att.context = req.call.prompt / int64(count)
+	att.unread = count
+	whole := in.wd.sc.Engine.Reading(req.call.prompt, count)
+	att.parts = append(att.parts, &part{eng: en, attempt: att, left: whole})
 	for _, helper := range eff.Helpers {
-		rn.tokens -= helper.Tokens
+		att.tokens -= helper.Tokens
 		if helper.Tokens > 0 {
-			rn.tickets = append(rn.tickets, ticket{in.wd.engines[helper.Name], helper.Tokens})
+			att.reservations = append(att.reservations, reservation{in.wd.engines[helper.Name], helper.Tokens})
 		}
-		rn.parts = append(rn.parts, &part{eng: in.wd.engines[helper.Name], run: rn, help: true, left: whole})
+		att.parts = append(att.parts, &part{eng: in.wd.engines[helper.Name], attempt: att, help: true, left: whole})
 	}
-	if len(rn.tickets) == 0 {
-		in.wd.after(in.wd.sc.NoteDelay, func() { en.arrive(rn) })
+	if len(att.reservations) == 0 {
+		in.wd.after(in.wd.sc.NoteDelay, func() { en.enqueue(att) })
 		return
 	}
-	in.wd.after(in.wd.sc.NoteDelay, func() { in.reserve(rn) })
+	in.wd.after(in.wd.sc.NoteDelay, func() { in.reserve(att) })
 }
 
-// reserve sets memory aside at the helpers, after which the request is sent.
-func (in *instance) reserve(rn *run) {
-	for i, tk := range rn.tickets {
-		if tk.eng.tokens+tk.tokens <= in.wd.sc.Engine.Memory {
-			tk.eng.tokens += tk.tokens
+// reserve reserves memory at the helpers and then sends the attempt to its engine. If a helper is full, it releases the
+// other reservations and the attempt fails.
+func (in *instance) reserve(att *attempt) {
+	for i, rsv := range att.reservations {
+		if rsv.eng.usedTokens+rsv.tokens <= in.wd.sc.Engine.Memory {
+			rsv.eng.usedTokens += rsv.tokens
 			continue
 		}
-		full := tk.eng.replica.Name
-		for _, held := range rn.tickets[:i] {
-			held.eng.tokens -= held.tokens
+		full := rsv.eng.replica.Name
+		for _, held := range att.reservations[:i] {
+			held.eng.usedTokens -= held.tokens
 		}
-		rn.tickets = nil
-		in.wd.after(in.wd.sc.NoteDelay, func() { in.notRun(rn, full) })
+		att.reservations = nil
+		in.wd.after(in.wd.sc.NoteDelay, func() { in.reservationFailed(att, full) })
 		return
 	}
-	in.wd.after(2*in.wd.sc.NoteDelay, func() { rn.eng.arrive(rn) })
+	in.wd.after(2*in.wd.sc.NoteDelay, func() { att.eng.enqueue(att) })
 }
 
-// notRun ends an attempt for which a helper had no memory.
-func (in *instance) notRun(rn *run, full string) {
-	if tr, ok := in.calls[rn.send.ID]; ok && tr.run == rn && !rn.cut {
-		rn.cut = true
-		in.reduce(steer.AttemptEnded{ID: tr.id, Attempt: rn.send.Attempt, Result: steer.ResultNotRun, FaultAt: full})
+// reservationFailed ends an attempt for which the helper named full had no memory.
+func (in *instance) reservationFailed(att *attempt, full string) {
+	if req, ok := in.requests[att.send.ID]; ok && req.attempt == att && !att.ended {
+		att.ended = true
+		in.reduce(steer.AttemptEnded{ID: req.id, Attempt: att.send.Attempt, Result: steer.ResultNotRun, FaultAt: full})
 	}
 }
 
-// event passes an event of a stream on to its caller.
-func (in *instance) event(rn *run, last bool) {
-	tr, ok := in.calls[rn.send.ID]
-	if in.dead || !ok || tr.run != rn {
+// forwardEvent forwards an event of a stream to its caller.
+func (in *instance) forwardEvent(att *attempt, last bool) {
+	req, ok := in.requests[att.send.ID]
+	if in.stopped || !ok || req.attempt != att {
 		return
 	}
 	now := in.wd.now
-	if tr.last.IsZero() {
-		in.reduce(steer.Began{ID: tr.id, Attempt: rn.send.Attempt})
+	if req.last.IsZero() {
+		in.reduce(steer.Began{ID: req.id, Attempt: att.send.Attempt})
 	} else {
-		pass := now.Sub(tr.last)
-		tr.pause = max(tr.pause, pass)
-		in.reduce(steer.Progressed{ID: tr.id, Attempt: rn.send.Attempt, Pause: pass})
+		pass := now.Sub(req.last)
+		req.pause = max(req.pause, pass)
+		in.reduce(steer.Progressed{ID: req.id, Attempt: att.send.Attempt, Pause: pass})
 	}
-	tr.last = now
-	tr.begun = true
-	tr.call.event()
+	req.last = now
+	req.begun = true
+	req.call.recordEvent()
 	if last {
-		in.reduce(steer.AttemptEnded{ID: tr.id, Attempt: rn.send.Attempt, Result: steer.ResultDone, Begun: true, Pause: tr.pause, PauseAt: now})
+		in.reduce(steer.AttemptEnded{ID: req.id, Attempt: att.send.Attempt, Result: steer.ResultDone, Begun: true, Pause: req.pause, PauseAt: now})
 	}
 }
 
-// answered ends a plain call's attempt.
-func (in *instance) answered(rn *run, failed bool) {
-	tr, ok := in.calls[rn.send.ID]
-	if in.dead || !ok || tr.run != rn || rn.cut {
+// endPlainAttempt ends an attempt of a plain call.
+func (in *instance) endPlainAttempt(att *attempt, failed bool) {
+	req, ok := in.requests[att.send.ID]
+	if in.stopped || !ok || req.attempt != att || att.ended {
 		return
 	}
-	ev := steer.AttemptEnded{ID: tr.id, Attempt: rn.send.Attempt, Result: steer.ResultDone, Begun: true}
+	ev := steer.AttemptEnded{ID: req.id, Attempt: att.send.Attempt, Result: steer.ResultDone, Begun: true}
 	if failed {
 		ev.Result, ev.Status, ev.Begun = steer.ResultAnswered, 500, false
 	} else {
-		in.reduce(steer.Began{ID: tr.id, Attempt: rn.send.Attempt})
-		tr.call.event()
+		in.reduce(steer.Began{ID: req.id, Attempt: att.send.Attempt})
+		req.call.recordEvent()
 	}
 	in.reduce(ev)
 }
 
-// abort ends the attempt under way.
+// abort cancels the request's current attempt.
 func (in *instance) abort(id steer.RequestID) {
-	tr, ok := in.calls[id]
-	if !ok || tr.run == nil {
+	req, ok := in.requests[id]
+	if !ok || req.attempt == nil {
 		return
 	}
-	if tr.run.eng != nil {
-		tr.run.eng.drop(tr.run)
+	if req.attempt.eng != nil {
+		req.attempt.eng.remove(req.attempt)
 	}
-	tr.run.cut = true
-	in.reduce(steer.AttemptEnded{ID: id, Attempt: tr.run.send.Attempt, Result: steer.ResultCancelled, Begun: tr.begun})
+	req.attempt.ended = true
+	in.reduce(steer.AttemptEnded{ID: id, Attempt: req.attempt.send.Attempt, Result: steer.ResultCancelled, Begun: req.begun})
 }
 
-// expire ends the attempt that reaches its deadline.
-func (in *instance) expire(tr *try) {
-	if in.calls[tr.id] != tr || in.dead || tr.run == nil || tr.run.cut {
+// expire ends the request's current attempt at its deadline.
+func (in *instance) expire(req *request) {
+	if in.requests[req.id] != req || in.stopped || req.attempt == nil || req.attempt.ended {
 		return
 	}
-	if tr.run.eng != nil {
-		tr.run.eng.drop(tr.run)
+	if req.attempt.eng != nil {
+		req.attempt.eng.remove(req.attempt)
 	}
-	tr.run.cut = true
-	in.reduce(steer.AttemptEnded{ID: tr.id, Attempt: tr.run.send.Attempt, Result: steer.ResultExpired, Begun: tr.begun})
+	req.attempt.ended = true
+	in.reduce(steer.AttemptEnded{ID: req.id, Attempt: req.attempt.send.Attempt, Result: steer.ResultExpired, Begun: req.begun})
 }
 
-// tick tells the reducer that time passes, as the relay does.
+// tick passes steer.Ticked to the reducer at every tickPeriod, as the relay does.
 func (in *instance) tick() {
-	if in.dead {
+	if in.stopped {
 		return
 	}
 	in.reduce(steer.Ticked{})
@@ -208,7 +213,7 @@
 }
 
 func (in *instance) summarize() {
-	if in.dead {
+	if in.stopped {
 		return
 	}
 	in.reduce(steer.Summarized{})
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -19,7 +19,7 @@
 	return sc
 }
 
-// mark is the mean mark over so many seeds.
+// mark returns the mean of Result.Mark over the seeds from 1 on.
 func mark(sc *model.Scenario, tune steer.Tuning, seeds int) float64 {
 	total := 0.0
 	for seed := range seeds {
@@ -30,25 +30,27 @@
 
 func TestSameSeedSameResult(t *testing.T) {
 	sc := load(t, "outage")
-	one, two := model.Run(sc, steer.DefaultTuning(), 7), model.Run(sc, steer.DefaultTuning(), 7)
-	assert.DeepEqual(t, one.Classes[0].Worth, two.Classes[0].Worth)
-	assert.Equal(t, one.Mark, two.Mark)
+	a, b := model.Run(sc, steer.DefaultTuning(), 7), model.Run(sc, steer.DefaultTuning(), 7)
+	assert.DeepEqual(t, a.Classes[0].Worth, b.Classes[0].Worth)
+	assert.Equal(t, a.Mark, b.Mark)
 	other := model.Run(sc, steer.DefaultTuning(), 8)
-	assert.Assert(t, one.Mark != other.Mark)
+	assert.Assert(t, a.Mark != other.Mark)
 }
 
-func TestIdleEngineTakesItsReading(t *testing.T) {
-	// One short prompt a second on idle engines: the first event comes after its reading, one step and three ways.
+func TestFirstEventTimeOnIdleEngine(t *testing.T) {
+	// At one short prompt every five seconds the engines are idle. The first event arrives after the prefill, one step
+	// and three one-way delays.
 	sc := load(t, "calm")
 	sc.Classes = sc.Classes[:1]
 	sc.Classes[0].PerSecond, sc.Classes[0].Spread, sc.Classes[0].MeanPrompt = 0.2, 0, 5000
 	res := model.Run(sc, steer.DefaultTuning(), 1)
 	alone := sc.Engine.Reading(5000, 1).Alone(&sc.Engine) + sc.Engine.Step + 3*sc.NoteDelay
-	assert.Assert(t, res.Classes[0].P50 > alone-3 && res.Classes[0].P50 < alone+3, "%v, reckoned %v", res.Classes[0].P50, alone)
+	assert.Assert(t, res.Classes[0].P50 > alone-3 && res.Classes[0].P50 < alone+3, "%v, estimated %v", res.Classes[0].P50, alone)
 }
 
 func TestEveryCallEndsOnce(t *testing.T) {
-	// Whatever the deployment, each caller has one end, also beside an outage of all instances.
+	// A call that ends twice or never would distort every share. Each caller has exactly one outcome in random
+	// deployments, also with an outage of all instances.
 	for seed := range uint64(6) {
 		sc := model.Draw(seed + 1)
 		assert.NilError(t, sc.Check())
@@ -61,18 +63,18 @@
 	}
 }
 
-func TestWhatEachMechanismEarns(t *testing.T) {
-	// The load that each mechanism answers, replayed with and without it over the same arrivals. Without it callers are
-	// served so much worse that no spread of the seeds hides it; what it earned when it was measured is in docs/POLICY.md.
+func TestEachMechanismRaisesMark(t *testing.T) {
+	// Each mechanism is switched off under the load for which it exists, with the same arrivals. Without it the mark is
+	// lower by more than the variance between seeds; docs/POLICY.md has the measured gains.
 	cases := map[string]struct {
 		scenario string
 		seeds    int
 		off      func(*steer.Tuning)
-		least    float64
+		minGain  float64
 	}{
-		"long reads have their engines to themselves": {"swings-short", 6, func(tune *steer.Tuning) { tune.LongRead = 1e6 }, 0.03},
-		"streams that may not pause share engines":    {"calm", 6, func(tune *steer.Tuning) { tune.SpreadCost = 0 }, 0.03},
-		"a long prompt is read by several":            {"calm", 6, func(tune *steer.Tuning) { tune.MaxEngines = 1 }, 0.1},
+		"long prefills run on separate engines":   {"swings-short", 6, func(tune *steer.Tuning) { tune.LongRead = 1e6 }, 0.03},
+		"streams with a strict gap share engines": {"calm", 6, func(tune *steer.Tuning) { tune.SpreadCost = 0 }, 0.03},
+		"several engines prefill a long prompt":   {"calm", 6, func(tune *steer.Tuning) { tune.MaxEngines = 1 }, 0.1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -80,34 +82,34 @@
 			sc := load(t, tc.scenario)
 			without := steer.DefaultTuning()
 			tc.off(&without)
-			lead := mark(sc, steer.DefaultTuning(), tc.seeds) - mark(sc, without, tc.seeds)
-			assert.Assert(t, lead > tc.least, "leads by %.3f", lead)
+			gain := mark(sc, steer.DefaultTuning(), tc.seeds) - mark(sc, without, tc.seeds)
+			assert.Assert(t, gain > tc.minGain, "gain of %.3f", gain)
 		})
 	}
 }
 
-func TestScenariosAreChecked(t *testing.T) {
+func TestCheckRejectsInvalidScenarios(t *testing.T) {
 	cases := map[string]func(*model.Scenario){
-		"no instance":         func(sc *model.Scenario) { sc.Instances = 0 },
-		"no step":             func(sc *model.Scenario) { sc.Engine.Step = 0 },
-		"a name twice":        func(sc *model.Scenario) { sc.Classes[1].Name = sc.Classes[0].Name },
-		"nobody to answer":    func(sc *model.Scenario) { sc.Plain = 0 },
-		"unknown burst":       func(sc *model.Scenario) { sc.Bursts = []model.Burst{{Class: "x"}} },
-		"no word for repeats": func(sc *model.Scenario) { sc.Classes[0].Repeats = "often" },
-		"loss above one":      func(sc *model.Scenario) { sc.NoteLoss = 2 },
+		"no instances":              func(sc *model.Scenario) { sc.Instances = 0 },
+		"step of zero":              func(sc *model.Scenario) { sc.Engine.Step = 0 },
+		"duplicate class name":      func(sc *model.Scenario) { sc.Classes[1].Name = sc.Classes[0].Name },
+		"no plain replicas":         func(sc *model.Scenario) { sc.Plain = 0 },
+		"burst of an unknown class": func(sc *model.Scenario) { sc.Bursts = []model.Burst{{Class: "x"}} },
+		"unknown value of Repeats":  func(sc *model.Scenario) { sc.Classes[0].Repeats = "often" },
+		"loss above one":            func(sc *model.Scenario) { sc.NoteLoss = 2 },
 	}
-	for name, spoil := range cases {
+	for name, invalidate := range cases {
 		t.Run(name, func(t *testing.T) {
 			sc := load(t, "calm")
-			spoil(sc)
+			invalidate(sc)
 			assert.ErrorContains(t, sc.Check(), "model: ")
 		})
 	}
 }
 
-func TestNoPolicyPassesTheBound(t *testing.T) {
-	// The bound leaves out all that binds but the engines' time. What is earned stays below it; where engines have time for
-	// everything it is all, and with half of the engines it is less.
+func TestResultStaysBelowBound(t *testing.T) {
+	// The bound ignores all limits except the engines' time, so a result above it is a fault of the bound or of the
+	// simulation. With time for everything the bound is close to 1, and with fewer engines it is lower.
 	for _, name := range []string{"calm", "swings"} {
 		sc := load(t, name)
 		bound := model.Bound(sc, 1)
--- a/internal/model/result.go
+++ b/internal/model/result.go
@@ -5,78 +5,94 @@
 	"slices"
 )
 
-// window is the span in seconds of which the worst count by themselves.
-const window = 2.0
+// windowSeconds is the length in seconds of the windows of which the two worst have a weight of their own in the mark.
+const windowSeconds = 2.0
 
-// The parts of the mark, as the users weigh them, and what a refusal costs of a caller that came back.
+// Parts of the mark, as users weigh them.
 const (
-	wholeWeight  = 0.6
+	// wholeWeight is the weight of Result.Whole.
+	wholeWeight = 0.6
+	// windowWeight is the weight of Result.Windows.
 	windowWeight = 0.25
-	classWeight  = 0.15
-	againPrice   = 0.3
-	leastOfClass = 5
+	// classWeight is the weight of Result.Class.
+	classWeight = 0.15
+	// secondRefusalCost is what the mark loses if all worth is refused a second time.
+	secondRefusalCost = 0.3
+	// minClassRequests is the minimum number of requests of a class that counts as the worst class.
+	minClassRequests = 5
 )
 
-// Result is what one run earned.
+// Result is the score of one run. All shares are of the offered worth.
 type Result struct {
 	Classes []ClassResult
-	// Whole is the worth earned of the worth owed, Windows the same over the two worst windows, Class that of the worst
-	// class; Mark weighs them and takes off what refusals of callers cost that had come back.
-	Whole, Windows, Class, Mark float64
-	// Refusals counts refused first tries, Again is the worth refused a second time.
+	// Whole is the share that was earned over the whole run.
+	Whole float64
+	// Windows is the mean share that was earned in the two worst windows.
+	Windows float64
+	// Class is the share that the worst class earned.
+	Class float64
+	// Mark is the weighted sum of Whole, Windows and Class less the cost of refusing callers that already retried.
+	Mark float64
+	// Refusals is the number of refused first requests.
 	Refusals int
-	Again    float64
+	// Again is the worth of the calls that were refused a second time.
+	Again float64
 
-	windows []earning
+	windows []worthSum
 }
 
-// ClassResult is what one class earned.
+// ClassResult is the score of one class.
 type ClassResult struct {
 	Name                               string
 	Asked, InTime, Late, Refused, Fail int
-	// Paused counts the late ones whose answer began in time.
+	// Paused is the number of late answers that began in time and then paused for too long.
 	Paused int
-	// Worth is the worth earned of the worth owed; P50 and P90 are of the time to the first event in ms.
-	Worth, P50, P90 float64
+	// Worth is the share of the offered worth that was earned.
+	Worth float64
+	// P50 is the median time to the first event in ms.
+	P50 float64
+	// P90 is the 90th percentile of the time to the first event in ms.
+	P90 float64
 
-	earning
+	worthSum
 	firsts []float64
 }
 
-type earning struct{ owed, earned float64 }
+// worthSum is the worth of some calls and how much of it was earned.
+type worthSum struct{ offered, earned float64 }
 
-func (er *earning) share() float64 {
-	if er.owed == 0 {
+func (ws *worthSum) share() float64 {
+	if ws.offered == 0 {
 		return 1
 	}
-	return er.earned / er.owed
+	return ws.earned / ws.offered
 }
 
 func newResult(sc *Scenario) *Result {
-	res := &Result{windows: make([]earning, int(sc.Seconds/window)+1)}
+	res := &Result{windows: make([]worthSum, int(sc.Seconds/windowSeconds)+1)}
 	for i := range sc.Classes {
 		res.Classes = append(res.Classes, ClassResult{Name: sc.Classes[i].Name})
 	}
 	return res
 }
 
-// count takes the end of a call.
+// count adds the outcome of a call.
 func (res *Result) count(cl *call) {
 	at := slices.IndexFunc(res.Classes, func(cr ClassResult) bool { return cr.Name == cl.class.Name })
 	cr := &res.Classes[at]
 	earned := 0.0
 	cr.Asked++
-	switch cl.ended {
-	case endedInTime:
+	switch cl.outcome {
+	case outcomeInTime:
 		cr.InTime++
 		earned = cl.worth
-	case endedLate:
+	case outcomeLate:
 		cr.Late++
 		if cl.first.Sub(cl.at) <= millis(cl.class.Goal) {
 			cr.Paused++
 		}
 		earned = cl.worth * cl.class.LateWorth / cl.class.Worth
-	case endedRefused:
+	case outcomeRefused:
 		cr.Refused++
 	default:
 		cr.Fail++
@@ -84,44 +100,44 @@
 	if !cl.first.IsZero() {
 		cr.firsts = append(cr.firsts, ms(cl.first.Sub(cl.at)))
 	}
-	win := &res.windows[int(cl.at.Sub(epoch).Seconds()/window)]
-	for _, er := range []*earning{&cr.earning, win} {
-		er.owed += cl.worth
-		er.earned += earned
+	win := &res.windows[int(cl.at.Sub(epoch).Seconds()/windowSeconds)]
+	for _, ws := range []*worthSum{&cr.worthSum, win} {
+		ws.offered += cl.worth
+		ws.earned += earned
 	}
 }
 
-// finish reckons the figures.
-func (res *Result) finish() {
-	var whole earning
+// computeTotals computes the shares, quantiles and the mark after the run.
+func (res *Result) computeTotals() {
+	var whole worthSum
 	res.Class = 1
 	for i := range res.Classes {
 		cr := &res.Classes[i]
-		whole.owed += cr.owed
+		whole.offered += cr.offered
 		whole.earned += cr.earned
 		cr.Worth = round3(cr.share())
 		cr.P50, cr.P90 = quantile(cr.firsts, 0.5), quantile(cr.firsts, 0.9)
-		if cr.Asked >= leastOfClass {
+		if cr.Asked >= minClassRequests {
 			res.Class = min(res.Class, cr.share())
 		}
 	}
 	res.Whole = whole.share()
-	worst := slices.DeleteFunc(slices.Clone(res.windows), func(er earning) bool { return er.owed == 0 })
-	slices.SortFunc(worst, func(one, two earning) int { return cmp.Compare(one.share(), two.share()) })
+	worst := slices.DeleteFunc(slices.Clone(res.windows), func(ws worthSum) bool { return ws.offered == 0 })
+	slices.SortFunc(worst, func(a, b worthSum) int { return cmp.Compare(a.share(), b.share()) })
 	res.Windows = 1
 	if len(worst) > 1 {
 		res.Windows = (worst[0].share() + worst[1].share()) / 2
 	}
 	res.Mark = wholeWeight*res.Whole + windowWeight*res.Windows + classWeight*res.Class
-	if whole.owed > 0 {
-		res.Mark -= againPrice * res.Again / whole.owed
+	if whole.offered > 0 {
+		res.Mark -= secondRefusalCost * res.Again / whole.offered
 	}
 }
 
-func quantile(figures []float64, share float64) float64 {
-	if len(figures) == 0 {
+func quantile(values []float64, share float64) float64 {
+	if len(values) == 0 {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(figures))
+	sorted := slices.Sorted(slices.Values(values))
 	return round3(sorted[int(share*float64(len(sorted)-1))])
 }
--- a/internal/model/scenario.go
+++ b/internal/model/scenario.go
@@ -1,6 +1,6 @@
-// Package model runs the decisions of several instances in virtual time against a model of engines, plain services and
-// callers. The reducers are the real ones (package steer); what is modelled is what answers them. It has no store and no
-// wire: it measures the policy, not the product. docs/POLICY.md has how far it is from played days.
+// Package model simulates several instances in virtual time against models of engines, plain services and callers. The
+// reducers are the real ones of package steer; only what answers them is modelled. There is no store and no network, so
+// it measures the policy, not the program. docs/POLICY.md states how far its results are from those of played days.
 package model
 
 import (
@@ -13,119 +13,140 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Scenario is a deployment and the load on it.
+// Scenario is a deployment and its load, as read from a JSON file.
 type Scenario struct {
 	Name string
-	// Seconds is for how long requests arrive.
+	// Seconds is how long requests arrive.
 	Seconds float64
-	// Instances and the replicas of both services are dealt over the failure domains in turn.
+	// Instances is the number of instances. They and the replicas of both services are spread round-robin over the
+	// failure domains.
 	Instances      int
 	FailureDomains int
-	// Engines is how many replicas the model service has, Engine what each can do.
+	// Engines is the number of replicas of the model service.
 	Engines int
-	Engine  decl.Engine
-	// Plain is how many replicas the plain service has, PlainSlots how many calls each runs at once.
-	Plain      int
+	// Engine declares the performance of each of them.
+	Engine decl.Engine
+	// Plain is the number of replicas of the plain service.
+	Plain int
+	// PlainSlots is the number of calls that each of them runs at once.
 	PlainSlots int
-	// NoteDelay is what a note, a request or an event takes on its way in ms, one way; NoteLoss the share of notes lost.
-	NoteDelay, NoteLoss float64
-	Classes             []Class
-	Bursts              []Burst
-	Outages             []Outage
-	Slowdowns           []Slowdown
+	// NoteDelay is the one-way delay of a note, a request or an event in ms.
+	NoteDelay float64
+	// NoteLoss is the share of notes that are lost.
+	NoteLoss  float64
+	Classes   []Class
+	Bursts    []Burst
+	Outages   []Outage
+	Slowdowns []Slowdown
 }
 
-// Class is one kind of request.
+// Class is one class of requests.
 type Class struct {
 	Name string
-	// PerSecond is the mean rate of first tries.
+	// PerSecond is the mean rate of calls, without retries.
 	PerSecond float64
-	// MeanPrompt, Spread and MaxPrompt are of the log-normal lengths of prompts in tokens; 0 for calls of the plain service.
-	MeanPrompt, Spread, MaxPrompt float64
-	// MeanEvents is the mean number of events of an answer, log-normal with EventSpread, up to MaxEvents.
-	MeanEvents, EventSpread, MaxEvents float64
-	// Work is the mean time in ms of a plain call, ErrorShare the share of them that fail.
-	Work, ErrorShare float64
-	// Goal is the time to the first event in ms, Gap the longest pause, Timeout the caller's time.
-	Goal, Gap, Timeout float64
-	Attempts           int
-	Repeats            decl.Repeats
-	// Worth is what an answer in time earns, LateWorth what a late one does.
-	Worth, LateWorth float64
+	// MeanPrompt is the mean of the log-normal lengths of prompts in tokens; 0 makes it a class of plain calls.
+	MeanPrompt float64
+	// Spread is the standard deviation of the logarithm of the length.
+	Spread float64
+	// MaxPrompt is the maximum length in tokens.
+	MaxPrompt float64
+	// MeanEvents is the mean of the log-normal number of events of an answer.
+	MeanEvents float64
+	// EventSpread is the standard deviation of the logarithm of the number of events.
+	EventSpread float64
+	// MaxEvents is the maximum number of events.
+	MaxEvents float64
+	// Work is the mean time of a plain call in ms.
+	Work float64
+	// ErrorShare is the share of plain calls that fail.
+	ErrorShare float64
+	// Goal is the maximum time to the first event in ms for an answer in time.
+	Goal float64
+	// Gap is the maximum time between two events in ms for an answer in time; 0 sets no limit.
+	Gap float64
+	// Timeout is the route's timeout in ms.
+	Timeout  float64
+	Attempts int
+	Repeats  decl.Repeats
+	// Worth is what a mean answer in time earns.
+	Worth float64
+	// LateWorth is what a mean late answer earns.
+	LateWorth float64
 }
 
-// Burst makes a class arrive so many times as often for a while.
+// Burst multiplies the rate of a class by Times from At for For seconds.
 type Burst struct {
 	Class   string
 	At, For float64
 	Times   float64
 }
 
-// Outage takes all instances away at At and brings them back after For seconds, which know nothing. Engines go on writing
-// for those who died.
+// Outage stops all instances at At and restarts them after For seconds without any state. The engines continue to decode
+// the requests of the stopped instances.
 type Outage struct{ At, For float64 }
 
-// Slowdown makes the first Share of the engines take so many times as long for everything from At on for For seconds.
+// Slowdown multiplies the duration of the passes of the first Share of the engines by Times, from At for For seconds.
 type Slowdown struct{ At, For, Share, Times float64 }
 
-// BadScenario is a scenario that cannot be run.
+// BadScenario is the error type of an invalid scenario file.
 var BadScenario = errorx.NewNamespace("model").NewType("bad_scenario")
 
 // Load reads a scenario from a JSON file.
 func Load(path string) (*Scenario, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, BadScenario.Wrap(err, "model: %s cannot be read; name a scenario file", path)
+		return nil, BadScenario.Wrap(err, "model: %s cannot be read; give the path of a scenario file", path)
 	}
 	sc := &Scenario{}
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(sc); err != nil {
-		return nil, BadScenario.Wrap(err, "model: %s is no scenario; mend the field that the cause names", path)
+		return nil, BadScenario.Wrap(err, "model: %s is not a valid scenario; correct the field that the cause names", path)
 	}
 	return sc, sc.Check()
 }
 
-// Check returns a BadScenario error that names the figure and what is allowed.
+// Check returns a BadScenario error that names the invalid value and the allowed ones.
 func (sc *Scenario) Check() error {
 	if sc.Seconds <= 0 || sc.Instances < 1 || sc.FailureDomains < 1 {
-		return BadScenario.New("model: %s has %v seconds, %d instances and %d failure domains; give more than 0 of each", sc.Name, sc.Seconds, sc.Instances, sc.FailureDomains)
+		return BadScenario.New("model: %s has Seconds %v, Instances %d and FailureDomains %d; set each above 0", sc.Name, sc.Seconds, sc.Instances, sc.FailureDomains)
 	}
 	eng := &sc.Engine
 	if sc.Engines < 0 || sc.Engines > 0 && (eng.Slots < 1 || eng.Memory < 1 || eng.Step <= 0 || eng.ReadRate <= 0 || eng.Chunk < 1 || eng.Stride < 1) {
-		return BadScenario.New("model: %s has engines without slots, memory, step, read rate, chunk or stride; give more than 0 of each", sc.Name)
+		return BadScenario.New("model: %s has engines without Slots, Memory, Step, ReadRate, Chunk or Stride; set each above 0", sc.Name)
 	}
 	if sc.NoteDelay < 0 || sc.NoteLoss < 0 || sc.NoteLoss > 1 {
-		return BadScenario.New("model: %s has a note delay of %v and a loss of %v; give 0 or more, and a share", sc.Name, sc.NoteDelay, sc.NoteLoss)
+		return BadScenario.New("model: %s has NoteDelay %v and NoteLoss %v; set a delay of at least 0 and a loss from 0 to 1", sc.Name, sc.NoteDelay, sc.NoteLoss)
 	}
 	names := map[string]bool{}
 	for i := range sc.Classes {
 		cls := &sc.Classes[i]
 		if cls.Name == "" || names[cls.Name] || cls.PerSecond < 0 || cls.Goal <= 0 || cls.Timeout <= 0 || cls.Worth <= 0 {
-			return BadScenario.New("model: class %q of %s needs a name of its own, a rate of 0 or more, and a goal, a timeout and a worth above 0", cls.Name, sc.Name)
+			return BadScenario.New("model: class %q of %s is incomplete; set a unique Name, PerSecond of at least 0, and Goal, Timeout and Worth above 0", cls.Name, sc.Name)
 		}
 		if cls.MeanPrompt > 0 && (sc.Engines == 0 || min(cls.MeanEvents, cls.MaxEvents) <= 0) || cls.MeanPrompt == 0 && sc.Plain == 0 {
-			return BadScenario.New("model: class %q of %s has nobody to answer it or answers without events", cls.Name, sc.Name)
+			return BadScenario.New("model: class %q of %s has no replicas or no events; set Engines, MeanEvents and MaxEvents for prompts or Plain for plain calls", cls.Name, sc.Name)
 		}
 		if cls.Repeats != decl.RepeatsNone && cls.Repeats != decl.RepeatsAny && cls.Repeats != decl.RepeatsResumed {
-			return BadScenario.New("model: class %q of %s has %q for Repeats; give None, Any or Resumed", cls.Name, sc.Name, cls.Repeats)
+			return BadScenario.New("model: class %q of %s has Repeats %q; set None, Any or Resumed", cls.Name, sc.Name, cls.Repeats)
 		}
 		names[cls.Name] = true
 	}
 	for _, slow := range sc.Slowdowns {
 		if slow.Share < 0 || slow.Share > 1 || slow.Times < 1 {
-			return BadScenario.New("model: a slowdown of %s has a share of %v and %v times; give a share from 0 to 1, and 1 or more times", sc.Name, slow.Share, slow.Times)
+			return BadScenario.New("model: a slowdown of %s has Share %v and Times %v; set Share from 0 to 1 and Times of at least 1", sc.Name, slow.Share, slow.Times)
 		}
 	}
 	for _, burst := range sc.Bursts {
 		if !names[burst.Class] || burst.Times < 0 {
-			return BadScenario.New("model: a burst of %s names class %q; name one that there is, with 0 or more times its rate", sc.Name, burst.Class)
+			return BadScenario.New("model: a burst of %s is of class %q; set Class to a class of the scenario and Times to at least 0", sc.Name, burst.Class)
 		}
 	}
 	return nil
 }
 
-// rate is the class's rate at a time.
+// rate returns the rate of the class at a time in seconds, bursts included.
 func (sc *Scenario) rate(cls *Class, at float64) float64 {
 	rate := cls.PerSecond
 	for _, burst := range sc.Bursts {
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -12,83 +12,89 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// epoch is when virtual time begins.
+// epoch is the start of virtual time.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 const (
 	serviceModel = "model"
 	servicePlain = "plain"
-	// settling is for how long in seconds the run goes on after the last arrival.
-	settling = 16.0
-	// budgetRatio, budgetSlack and budgetWindow bound repeats.
-	budgetRatio  = 0.2
-	budgetSlack  = 100
+	// settleSeconds is how long in seconds the run continues after the last arrival.
+	settleSeconds = 16.0
+	// budgetRatio is the number of retries that the instances together may send per request in budgetWindow.
+	budgetRatio = 0.2
+	// budgetSlack is the number of retries that they may send in addition.
+	budgetSlack = 100
+	// budgetWindow is the time over which requests and retries are counted.
 	budgetWindow = 10 * time.Second
 )
 
-// world is one run.
+// world is the state of one simulation run.
 type world struct {
 	sc       *Scenario
 	tune     steer.Tuning
 	seed     uint64
 	now      time.Time
-	due      agenda
-	order    uint64
-	random   *rand.Rand
+	queue    eventQueue
+	sequence uint64
+	// random is the source of all random values that the policy can influence.
+	random *rand.Rand
+	// arrivals is the source of the calls' timeouts and lengths. It is separate, so that a policy doesn't change the load.
 	arrivals *rand.Rand
 	routing  *decl.Routing
 	replicas []steer.Replica
 	engines  map[string]*engine
-	plains   map[string]*plain
-	// instances holds nil for one that is down.
+	plains   map[string]*plainReplica
+	// instances holds nil for an instance that is stopped.
 	instances []*instance
-	runs      int64
-	calls     uint64
-	result    *Result
+	// runs is the number of starts of the instances, from which each gets its run number.
+	runs int64
+	// calls is the number of calls so far.
+	calls  uint64
+	result *Result
 }
 
-// item is something due.
-type item struct {
-	at    time.Time
-	order uint64
-	do    func()
+// scheduledEvent is a function to be run at a virtual time. Events of the same time run in the order of sequence.
+type scheduledEvent struct {
+	at       time.Time
+	sequence uint64
+	do       func()
 }
 
-type agenda []item
+type eventQueue []scheduledEvent
 
-func (ag agenda) Len() int { return len(ag) }
-func (ag agenda) Less(i, j int) bool {
-	if ag[i].at.Equal(ag[j].at) {
-		return ag[i].order < ag[j].order
+func (eq eventQueue) Len() int { return len(eq) }
+func (eq eventQueue) Less(i, j int) bool {
+	if eq[i].at.Equal(eq[j].at) {
+		return eq[i].sequence < eq[j].sequence
 	}
-	return ag[i].at.Before(ag[j].at)
+	return eq[i].at.Before(eq[j].at)
 }
-func (ag agenda) Swap(i, j int) { ag[i], ag[j] = ag[j], ag[i] }
+func (eq eventQueue) Swap(i, j int) { eq[i], eq[j] = eq[j], eq[i] }
 
 // Push implements heap.Interface.
-func (ag *agenda) Push(x any) { *ag = append(*ag, x.(item)) }
+func (eq *eventQueue) Push(x any) { *eq = append(*eq, x.(scheduledEvent)) }
 
 // Pop implements heap.Interface.
-func (ag *agenda) Pop() any {
-	old := *ag
+func (eq *eventQueue) Pop() any {
+	old := *eq
 	last := old[len(old)-1]
-	old[len(old)-1] = item{}
-	*ag = old[:len(old)-1]
+	old[len(old)-1] = scheduledEvent{}
+	*eq = old[:len(old)-1]
 	return last
 }
 
-// Run plays the scenario once. The same scenario, tuning and seed give the same result; the arrivals depend on the
-// scenario and the seed alone.
+// Run simulates the scenario once. The same scenario, tuning and seed give the same result. The arrivals depend only on
+// the scenario and the seed, so different tunings are compared under the same load.
 func Run(sc *Scenario, tune steer.Tuning, seed uint64) *Result {
 	wd := newWorld(sc, tune, seed)
-	wd.start()
-	wd.arrive(func(index int) { wd.draw(index).begin() })
+	wd.startInstances()
+	wd.scheduleArrivals(func(index int) { wd.newCall(index).sendRequest() })
 	for _, out := range sc.Outages {
-		wd.after(out.At*1000, wd.kill)
-		wd.after((out.At+out.For)*1000, wd.start)
+		wd.after(out.At*1000, wd.stopInstances)
+		wd.after((out.At+out.For)*1000, wd.startInstances)
 	}
-	wd.play()
-	wd.result.finish()
+	wd.runEvents()
+	wd.result.computeTotals()
 	return wd.result
 }
 
@@ -96,43 +102,43 @@
 	wd := &world{
 		sc: sc, tune: tune, seed: seed, now: epoch,
 		random: rand.New(rand.NewPCG(seed, 1)), arrivals: rand.New(rand.NewPCG(seed, 2)),
-		engines: map[string]*engine{}, plains: map[string]*plain{}, instances: make([]*instance, sc.Instances),
+		engines: map[string]*engine{}, plains: map[string]*plainReplica{}, instances: make([]*instance, sc.Instances),
 		result: newResult(sc),
 	}
 	wd.build()
 	return wd
 }
 
-// play does all that is due until some time after the last arrival.
-func (wd *world) play() {
-	end := epoch.Add(millis((wd.sc.Seconds + settling) * 1000))
-	for len(wd.due) > 0 && wd.due[0].at.Before(end) {
-		next := heap.Pop(&wd.due).(item)
+// runEvents runs the scheduled events in order until settleSeconds after the last arrival.
+func (wd *world) runEvents() {
+	end := epoch.Add(millis((wd.sc.Seconds + settleSeconds) * 1000))
+	for len(wd.queue) > 0 && wd.queue[0].at.Before(end) {
+		next := heap.Pop(&wd.queue).(scheduledEvent)
 		wd.now = next.at
 		next.do()
 	}
 }
 
-// after does something in so many ms.
+// after schedules a function to run in wait ms.
 func (wd *world) after(wait float64, do func()) {
-	wd.order++
-	heap.Push(&wd.due, item{wd.now.Add(millis(wait)), wd.order, do})
+	wd.sequence++
+	heap.Push(&wd.queue, scheduledEvent{wd.now.Add(millis(wait)), wd.sequence, do})
 }
 
-// build makes the replicas and the routes.
+// build creates the replicas and the routing.
 func (wd *world) build() {
 	for i := range wd.sc.Engines {
-		rep := steer.Replica{Name: fmt.Sprintf("engine-%03d", i), Born: 1, Service: serviceModel, Address: fmt.Sprintf("e%d", i), FailureDomain: wd.domainOf(i), Slots: wd.sc.Engine.Slots}
+		rep := steer.Replica{Name: fmt.Sprintf("engine-%03d", i), Born: 1, Service: serviceModel, Address: fmt.Sprintf("e%d", i), FailureDomain: wd.failureDomain(i), Slots: wd.sc.Engine.Slots}
 		wd.replicas = append(wd.replicas, rep)
 		wd.engines[rep.Name] = &engine{wd: wd, replica: rep, index: i}
 	}
 	for i := range wd.sc.Plain {
-		rep := steer.Replica{Name: fmt.Sprintf("plain-%03d", i), Born: 1, Service: servicePlain, Address: fmt.Sprintf("p%d", i), FailureDomain: wd.domainOf(i), Slots: wd.sc.PlainSlots}
+		rep := steer.Replica{Name: fmt.Sprintf("plain-%03d", i), Born: 1, Service: servicePlain, Address: fmt.Sprintf("p%d", i), FailureDomain: wd.failureDomain(i), Slots: wd.sc.PlainSlots}
 		wd.replicas = append(wd.replicas, rep)
-		wd.plains[rep.Name] = &plain{wd: wd, replica: rep}
+		wd.plains[rep.Name] = &plainReplica{wd: wd, replica: rep}
 	}
-	figs := wd.sc.Engine
-	wd.routing = &decl.Routing{Version: 1, Services: map[string]decl.Pool{serviceModel: {Engine: &figs}, servicePlain: {}}}
+	eng := wd.sc.Engine
+	wd.routing = &decl.Routing{Version: 1, Services: map[string]decl.Pool{serviceModel: {Engine: &eng}, servicePlain: {}}}
 	for i := range wd.sc.Classes {
 		cls := &wd.sc.Classes[i]
 		service := serviceModel
@@ -146,19 +152,19 @@
 	}
 }
 
-// start brings all instances up that are down, at moments that differ a little.
-func (wd *world) start() {
+// startInstances starts all instances, after an outage with random delays of up to 200 ms.
+func (wd *world) startInstances() {
 	wd.runs++
 	for i := range wd.instances {
 		run := wd.runs
-		wd.after(200*wd.random.Float64()*float64(min(1, run-1)), func() { wd.launch(i, run) })
+		wd.after(200*wd.random.Float64()*float64(min(1, run-1)), func() { wd.startInstance(i, run) })
 	}
 }
 
-func (wd *world) launch(index int, run int64) {
-	in := &instance{wd: wd, name: wd.nameOf(index), calls: map[steer.RequestID]*try{}}
+func (wd *world) startInstance(index int, run int64) {
+	in := &instance{wd: wd, name: wd.instanceName(index), requests: map[steer.RequestID]*request{}}
 	in.state = steer.New(steer.Options{
-		Name: in.name, FailureDomain: wd.domainOf(index), Run: run, Seed: wd.seed*1000 + uint64(index) + uint64(run)*100,
+		Name: in.name, FailureDomain: wd.failureDomain(index), Run: run, Seed: wd.seed*1000 + uint64(index) + uint64(run)*100,
 		MissingTime: 2 * time.Second, Tuning: wd.tune,
 		Budget: steer.Budget{Ratio: budgetRatio, Slack: budgetSlack, Window: budgetWindow},
 	})
@@ -168,7 +174,7 @@
 	var others []steer.Instance
 	for i := range wd.instances {
 		if i != index {
-			others = append(others, steer.Instance{Name: wd.nameOf(i), FailureDomain: wd.domainOf(i)})
+			others = append(others, steer.Instance{Name: wd.instanceName(i), FailureDomain: wd.failureDomain(i)})
 		}
 	}
 	in.reduce(steer.Peered{Instances: others})
@@ -176,39 +182,39 @@
 	wd.after(summaryPeriod*wd.random.Float64(), in.summarize)
 }
 
-func (wd *world) domainOf(index int) string {
+func (wd *world) failureDomain(index int) string {
 	return fmt.Sprintf("domain-%d", index%wd.sc.FailureDomains)
 }
 
-func (wd *world) nameOf(index int) string { return fmt.Sprintf("instance-%03d", index) }
+func (wd *world) instanceName(index int) string { return fmt.Sprintf("instance-%03d", index) }
 
-// kill takes all instances away with everything that they know.
-func (wd *world) kill() {
+// stopInstances stops all instances, which lose their state, and breaks the connections of their callers.
+func (wd *world) stopInstances() {
 	for i, in := range wd.instances {
 		if in == nil {
 			continue
 		}
-		in.dead = true
+		in.stopped = true
 		wd.instances[i] = nil
-		for _, id := range in.open() {
-			tr := in.calls[id]
-			tr.call.broke(tr)
+		for _, id := range in.openRequests() {
+			req := in.requests[id]
+			req.call.connectionLost(req)
 		}
 	}
 }
 
-// open lists what is open at the instance, in the order of arrival.
-func (in *instance) open() []steer.RequestID {
-	ids := make([]steer.RequestID, 0, len(in.calls))
-	for id := range in.calls {
+// openRequests lists the open requests of the instance in the order of their arrival.
+func (in *instance) openRequests() []steer.RequestID {
+	ids := make([]steer.RequestID, 0, len(in.requests))
+	for id := range in.requests {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// tell brings a note to the others.
-func (wd *world) tell(from *instance, eff steer.SendNote) {
+// deliverNote delivers a note to its receivers after a random delay. Each copy may be lost.
+func (wd *world) deliverNote(from *instance, eff steer.SendNote) {
 	for _, in := range wd.instances {
 		if in == nil || in == from || eff.To != nil && !slices.Contains(eff.To, in.name) {
 			continue
@@ -216,29 +222,30 @@
 		if wd.random.Float64() < wd.sc.NoteLoss {
 			continue
 		}
-		// Each receiver decodes a note of its own.
+		// Each receiver gets a copy of its own, as if it decoded the note.
 		nt := eff.Note
 		nt.Jobs = slices.Clone(nt.Jobs)
 		wd.after(wd.sc.NoteDelay*(0.5+wd.random.Float64()), func() { in.reduce(steer.NoteReceived{Note: nt}) })
 	}
 }
 
-// arrive lets each class arrive as a Poisson stream, thinned where its rate is below its highest.
-func (wd *world) arrive(arrived func(index int)) {
+// scheduleArrivals schedules the arrivals of each class as a Poisson process, thinned from the peak rate to the current
+// one.
+func (wd *world) scheduleArrivals(arrived func(index int)) {
 	for i := range wd.sc.Classes {
 		cls := &wd.sc.Classes[i]
-		most := cls.PerSecond
+		peak := cls.PerSecond
 		for _, burst := range wd.sc.Bursts {
 			if burst.Class == cls.Name {
-				most = max(most, cls.PerSecond*burst.Times)
+				peak = max(peak, cls.PerSecond*burst.Times)
 			}
 		}
-		if most <= 0 {
+		if peak <= 0 {
 			continue
 		}
 		source := rand.New(rand.NewPCG(wd.seed, uint64(i)+10))
-		for at := source.ExpFloat64() / most; at < wd.sc.Seconds; at += source.ExpFloat64() / most {
-			if source.Float64()*most >= wd.sc.rate(cls, at) {
+		for at := source.ExpFloat64() / peak; at < wd.sc.Seconds; at += source.ExpFloat64() / peak {
+			if source.Float64()*peak >= wd.sc.rate(cls, at) {
 				continue
 			}
 			wd.after(at*1000, func() { arrived(i) })
@@ -246,5 +253,5 @@
 	}
 }
 
-// round3 rounds for the report.
-func round3(figure float64) float64 { return math.Round(figure*1000) / 1000 }
+// round3 rounds to three decimals for the report.
+func round3(value float64) float64 { return math.Round(value*1000) / 1000 }
--- a/internal/report/draw.go
+++ b/internal/report/draw.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// lineColours tell lines apart also for readers who see few colours.
+// lineColours are distinguishable with colour vision deficiency.
 var lineColours = []color.Color{
 	color.RGBA{R: 0x00, G: 0x72, B: 0xb2, A: 0xff},
 	color.RGBA{R: 0xd5, G: 0x5e, B: 0x00, A: 0xff},
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -21,10 +21,10 @@
 var pageText string
 
 var page = template.Must(template.New("page").Funcs(template.FuncMap{
-	"what":    What,
+	"what":    Describe,
 	"percent": func(target float64) float64 { return 100 * target },
 	"round":   round,
-	"plain":   orPlain,
+	"plain":   classLabel,
 	"stamp":   func(at time.Time) string { return at.UTC().Format(time.RFC3339) },
 }).Parse(pageText))
 
@@ -45,7 +45,7 @@
 	Latency    template.HTML
 }
 
-// HTML writes the report as one page that needs no other file.
+// HTML writes the report as one self-contained page.
 func HTML(out io.Writer, rp meter.Report) error {
 	data := pageData{Report: rp}
 	for _, or := range rp.Objectives {
@@ -63,7 +63,7 @@
 	return page.Execute(out, data)
 }
 
-// burnPlot draws the burn rate of the last hour, a point a minute.
+// burnPlot plots the burn rate of the last hour with one point per minute.
 func burnPlot(or meter.ObjectiveReport) (template.HTML, error) {
 	pl := plot.New()
 	pl.Y.Label.Text = "burn rate"
@@ -98,7 +98,7 @@
 	return points
 }
 
-// latencyPlot draws the distribution of the time to first token, a line a service and class.
+// latencyPlot plots the distribution of the time to first token with one line per service and class.
 func latencyPlot(latencies []meter.LatencyReport) (template.HTML, error) {
 	pl := plot.New()
 	pl.X.Label.Text = "time to first token, ms"
@@ -114,7 +114,7 @@
 		}
 		line.Color = lineColours[i%len(lineColours)]
 		pl.Add(line)
-		pl.Legend.Add(lr.Service+" "+orPlain(lr.Class), line)
+		pl.Legend.Add(lr.Service+" "+classLabel(lr.Class), line)
 	}
 	if len(latencies) == 0 {
 		return "", nil
@@ -122,7 +122,7 @@
 	return svg(pl)
 }
 
-// quantileStep is the distance of the points of a distribution, in percent.
+// quantileStep is the distance between the points of a distribution, in percent.
 const quantileStep = 1
 
 func distribution(lr meter.LatencyReport) plotter.XYs {
@@ -143,7 +143,7 @@
 		return "", err
 	}
 	raw := buf.Bytes()
-	// The page is HTML, so the XML declaration before the element goes.
+	// The page is HTML, so the XML declaration before the element is removed.
 	if at := bytes.Index(raw, []byte("<svg")); at > 0 {
 		raw = raw[at:]
 	}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestHTMLNeedsNoOtherFile(t *testing.T) {
+func TestHTMLIsSelfContained(t *testing.T) {
 	var out strings.Builder
 	assert.NilError(t, report.HTML(&out, sample()))
 	page := out.String()
--- a/internal/report/text.go
+++ b/internal/report/text.go
@@ -1,4 +1,4 @@
-// Package report writes service-level reports for people: as text and as one HTML page with plots.
+// Package report renders service-level reports as text and as an HTML page with plots.
 package report
 
 import (
@@ -29,7 +29,7 @@
 	}
 	fmt.Fprintln(table, "\nFIRST TOKEN\tREQUESTS\tP50\tP95\tP99")
 	for _, lr := range rp.Latencies {
-		fmt.Fprintf(table, "%s %s\t%d\t%s\t%s\t%s\n", lr.Service, orPlain(lr.Class), lr.Total(),
+		fmt.Fprintf(table, "%s %s\t%d\t%s\t%s\t%s\n", lr.Service, classLabel(lr.Class), lr.Total(),
 			round(lr.Quantile(50)), round(lr.Quantile(95)), round(lr.Quantile(99)))
 	}
 	return table.Flush()
@@ -51,7 +51,7 @@
 	if alert == "" {
 		alert = "-"
 	}
-	fmt.Fprintf(out, "%s\t%s\t%g%%\t%s", or.Name, What(or.Objective), 100*or.Objective.Target, alert)
+	fmt.Fprintf(out, "%s\t%s\t%g%%\t%s", or.Name, Describe(or.Objective), 100*or.Objective.Target, alert)
 	var lastHour int64
 	for _, wr := range or.Windows {
 		fmt.Fprintf(out, "\t%.2f", wr.Rate)
@@ -62,8 +62,8 @@
 	fmt.Fprintf(out, "\t%d\n", lastHour)
 }
 
-// What says in a few words what an objective bounds.
-func What(obj decl.Objective) string {
+// Describe returns a short description of what an objective limits.
+func Describe(obj decl.Objective) string {
 	var parts []string
 	switch obj.Signal {
 	case decl.SignalFirstToken:
@@ -81,7 +81,7 @@
 	return strings.Join(parts, ", ")
 }
 
-func orPlain(class string) string {
+func classLabel(class string) string {
 	if class == "" {
 		return "Plain"
 	}
--- a/internal/slope/capacity.go
+++ b/internal/slope/capacity.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Target is the size aimed at, with the budget of one instance for control.
+// Target is the deployment size to extrapolate to, with the budgets of one Instance's control functions and of the store.
 type Target struct {
 	Instances         float64
 	Replicas          float64
@@ -16,16 +16,19 @@
 	RequestsPerSecond float64
 	LongShare         float64
 	PatchesPerDay     float64
-	// CoreShare is the share of a core that control may take; MemoryBytes and BytesPerSecond likewise.
-	CoreShare      float64
-	MemoryBytes    float64
+	// CoreShare is the share of a core that control functions of an Instance may use.
+	CoreShare float64
+	// MemoryBytes is the memory that they may use.
+	MemoryBytes float64
+	// BytesPerSecond is the network traffic that they may use.
 	BytesPerSecond float64
-	// StoreWrites and StoreReads are what the platform's key-value service takes a second.
+	// StoreWrites is the number of writes per second that the platform's key-value service handles.
 	StoreWrites float64
-	StoreReads  float64
+	// StoreReads is the number of reads per second that it handles.
+	StoreReads float64
 }
 
-// Aim is the size that the design is made for.
+// Aim returns the size for which the system is designed.
 func Aim() Target {
 	return Target{
 		Instances:         430,
@@ -46,32 +49,33 @@
 
 const secondsPerDay = 86400
 
-// PatchRate is the patches a second.
+// PatchRate returns the number of patches per second.
 func (tg Target) PatchRate() float64 {
 	return tg.PatchesPerDay / secondsPerDay
 }
 
-// RequestRate is the requests a second of one instance.
+// RequestRate returns the number of requests per second of one Instance.
 func (tg Target) RequestRate() float64 {
 	return tg.RequestsPerSecond / tg.Instances
 }
 
-// PoolReplicas is the replicas of one model in one failure domain.
+// PoolReplicas returns the number of replicas of one model in one FailureDomain.
 func (tg Target) PoolReplicas() float64 {
 	return tg.Replicas / tg.Models / tg.FailureDomains
 }
 
-// PoolsPerInstance is how many pools an instance coordinates.
+// PoolsPerInstance returns the mean number of pools that an Instance coordinates.
 func (tg Target) PoolsPerInstance() float64 {
 	return tg.Models * tg.FailureDomains / tg.Instances
 }
 
-// PermitRate is the permits a second that an instance asks for; it coordinates as many.
+// PermitRate returns the number of permits per second that an Instance requests. On average it grants as many as a
+// coordinator.
 func (tg Target) PermitRate() float64 {
 	return tg.RequestRate() * tg.LongShare
 }
 
-// Resource is what an item takes.
+// Resource is a kind of resource that an item uses.
 type Resource string
 
 // The resources.
@@ -83,20 +87,21 @@
 	Reads     Resource = "Store reads"
 )
 
-// Item is one part of what a role costs.
+// Item is one contribution to the cost of a role.
 type Item struct {
 	Role     string
 	Resource Resource
 	What     string
-	// Series names the measurement and Size the point of its line.
+	// Series names the measured series.
 	Series string
-	Size   float64
-	// Times multiplies the value: events a second for times and bytes of one event, 1 for the rest.
+	// Size is the size at which the series' line is evaluated.
+	Size float64
+	// Times is the factor on the value: the number of events per second if the series measures one event, otherwise 1.
 	Times     float64
 	Mechanism string
 }
 
-// Cost is what the item takes at its size, and whether it has been measured.
+// Cost returns the item's cost at its size and reports whether its series was measured.
 func (it Item) Cost(ms *Measured) (float64, bool) {
 	sr, err := ms.Find(it.Series)
 	if err != nil {
@@ -109,7 +114,7 @@
 	return value, true
 }
 
-// format writes a value in the resource's unit.
+// format formats a value in the resource's unit.
 func (rs Resource) format(value float64) string {
 	switch rs {
 	case Processor:
@@ -123,7 +128,7 @@
 	}
 }
 
-// budget returns what the target allows of the resource.
+// budget returns the target's budget for the resource.
 func (tg Target) budget(rs Resource) float64 {
 	switch rs {
 	case Processor:
@@ -139,7 +144,7 @@
 	}
 }
 
-// WriteTables writes a table a role, and the sums against the budgets.
+// WriteTables writes a Markdown table for each role, followed by the totals and their share of the budgets.
 func WriteTables(out io.Writer, tg Target, items []Item, ms *Measured) error {
 	for _, role := range roles(items) {
 		fmt.Fprintf(out, "### %s\n\n| Resource | What | At full size | Mechanism | Command |\n| --- | --- | --- | --- | --- |\n", role)
--- a/internal/slope/items.go
+++ b/internal/slope/items.go
@@ -1,6 +1,6 @@
 package slope
 
-// Series that other measurements give.
+// Names of the series that are measured outside of MeasureState.
 const (
 	IdleBytes     = "Instance.IdleBytes"
 	IdleProcessor = "Instance.IdleProcessor"
@@ -25,19 +25,21 @@
 	roleStore       = "The platform's key-value service"
 )
 
-// claimShare is the share of requests that are non-idempotent and carry a key; the letters give none, so one in fifty is assumed.
+// claimShare is the share of requests that are non-idempotent and carry a key. The requirements don't state it; one in
+// fifty is assumed.
 const claimShare = 0.02
 
-// What the network items assume.
+// Assumptions of the network items.
 const (
-	// watchedEngines is the most that one instance reads load reports of.
+	// watchedEngines is the maximum number of engines whose load reports one Instance reads.
 	watchedEngines = 64
-	// restartsPerDay is the instances restarted or replaced on an ordinary day; each leaves the list and joins it.
-	restartsPerDay    = 4300.0
+	// restartsPerDay is the number of instances that are restarted or replaced on an ordinary day.
+	restartsPerDay = 4300.0
+	// changesPerRestart is the number of list changes of a restart: the instance leaves the list and joins it again.
 	changesPerRestart = 2
 )
 
-// Items returns what each role costs at the size aimed at.
+// Items returns the contributions to the cost of each role at the target size.
 func Items(tg Target) []Item {
 	return []Item{
 		{roleEntry, Processor, "applying patches", ConfigApplyTime, tg.Organisations, tg.PatchRate(), "numbered log; each patch applied once"},
@@ -47,14 +49,14 @@
 		{roleEntry, Memory, "objectives", ObjectiveMemory, 2 * tg.Models, 1, "rings of buckets"},
 		{roleEntry, Memory, "open requests", RequestMemory, 20 * tg.RequestRate(), 1, "one record until the one Finish"},
 		{roleEntry, Memory, "an idle process", IdleMemory, tg.Instances, 1, "resident memory of the process, the program itself included"},
-		{roleEntry, Network, "membership", IdleBytes, tg.Instances, 1, "probes with news on their back, over QUIC; sent and received"},
-		{roleEntry, Network, "patches from peers", RelayBytes, tg.Organisations, tg.PatchRate(), "the version on peer messages; patches from the teller"},
-		{roleEntry, Network, "usage of organisations", UsageBytes, tg.Organisations, 1, "the top users, told rarely"},
+		{roleEntry, Network, "membership", IdleBytes, tg.Instances, 1, "gossip piggybacked on probes, over QUIC; sent and received"},
+		{roleEntry, Network, "patches from peers", RelayBytes, tg.Organisations, tg.PatchRate(), "the version on peer messages; patches from the peer that announced it"},
+		{roleEntry, Network, "usage of organisations", UsageBytes, tg.Organisations, 1, "the top users, announced rarely"},
 		{roleEntry, Network, "permits asked for", PermitBytes, 1, tg.PermitRate(), "long prompts only"},
 		{roleEntry, Network, "load reports of the engines watched, two a second", ReportBytes, 1, 2 * watchedEngines, "at most 64 engines an instance; digests from the pools' coordinators are designed, not built"},
 		{roleEntry, Network, "the instance list, read again at each change", ListBytes, tg.Replicas, changesPerRestart * restartsPerDay / secondsPerDay, "read when its entity tag changes; differences relayed within a failure domain are designed, not built"},
 		{roleCoordinator, Processor, "deciding permits", PermitTime, tg.PoolReplicas(), tg.PermitRate(), "rendezvous hashing over live members"},
-		{roleCoordinator, Network, "answering permits", PermitBytes, 1, tg.PermitRate(), "one answer an ask"},
+		{roleCoordinator, Network, "answering permits", PermitBytes, 1, tg.PermitRate(), "one reply per request"},
 		{roleCoordinator, Memory, "reservations", PermitMemory, tg.PoolReplicas() * tg.PoolsPerInstance(), 1, "one record a permit"},
 		{roleStore, Writes, "patches", ConfigWrites, tg.Instances, tg.PatchRate(), "one create a patch, a snapshot now and then"},
 		{roleStore, Writes, "claims", ClaimWrites, claimShare * tg.RequestsPerSecond, 1, "many claims a write of their shard"},
--- a/internal/slope/network.go
+++ b/internal/slope/network.go
@@ -15,12 +15,12 @@
 
 const networkCommand = "sailbench slopes network"
 
-// reportReads is how many load reports are read for one sample.
+// reportReads is the number of load reports that are read for one sample.
 const reportReads = 200
 
 var listSizes = []float64{30, 300, 1000, 3000}
 
-// countingListener counts the bytes of its connections, both ways.
+// countingListener counts the bytes of its connections in both directions.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -51,7 +51,7 @@
 	return n, err
 }
 
-// serveCounted serves the handler until the returned function is called, which returns the server's end.
+// serveCounted serves the handler until the returned function is called, which returns the server's error.
 func serveCounted(handler http.Handler) (*countingListener, func() error, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,7 +68,7 @@
 	return counted, stop, nil
 }
 
-// MeasureNetwork measures the bytes within TCP of a load report and of a changed instance list.
+// MeasureNetwork measures the bytes that a load report and a read of the whole instance list take as TCP payload.
 func MeasureNetwork(ctx context.Context) ([]Series, error) {
 	report, err := reportBytes(ctx)
 	if err != nil {
@@ -108,7 +108,7 @@
 	platform := stand.NewPlatform(0)
 	for i := range replicas {
 		platform.Put(plat.Entry{
-			Name: fmt.Sprintf("model-%02d-%05d", i%models, i), Service: serviceName(i),
+			Name: fmt.Sprintf("model-%02d-%05d", i%modelCount, i), Service: serviceName(i),
 			Address: fmt.Sprintf("10.%d.%d.%d:8000", i>>16, i>>8&255, i&255), FailureDomain: "south-a", State: plat.StateLive,
 		})
 	}
--- a/internal/slope/permits.go
+++ b/internal/slope/permits.go
@@ -12,12 +12,13 @@
 
 const (
 	permitsCommand = "sailbench slopes permits"
-	// permitWaiting is how many long prompts wait at the coordinator while it decides.
-	permitWaiting = 10
+	// waitingPermits is the number of permit requests that wait at the coordinator while it decides.
+	waitingPermits = 10
 	// permitMemory is the memory of one engine of the pool, in tokens.
 	permitMemory = 400_000
-	// permitStream is how long a long prompt's permit is renewed, once a second, in the bytes of one permit.
-	permitStream = 30
+	// permitRenewals is how often a permit is renewed while a long prompt is answered, at one renewal per second. The
+	// bytes of a permit include the renewals.
+	permitRenewals = 30
 )
 
 var (
@@ -25,7 +26,7 @@
 	permitSizes = []float64{100, 1000, 5000}
 )
 
-// MeasurePermits measures what a coordinator's decisions, messages and reservations cost in this process.
+// MeasurePermits measures the cost of a coordinator's decisions, messages and reservations in this process.
 func MeasurePermits() ([]Series, error) {
 	bytes, err := permitBytes()
 	if err != nil {
@@ -58,44 +59,45 @@
 	return co
 }
 
-func permitAsk(request string, tokens int64) event.PermitAsked {
+func newPermitAsked(request string, tokens int64) event.PermitAsked {
 	return event.PermitAsked{
 		Holder: "entry-012", Incarnation: 1 << 50, Peer: "10.0.0.1:8081", Request: request, Service: "lyric",
 		FailureDomain: "a", Organisation: "organisation-0001", Weight: 1, Tokens: tokens, Class: "Long", Wait: 1000 * time.Hour,
 	}
 }
 
-// decisionTime is the coordinator's whole time for one permit, from the ask to the return, while others wait.
+// decisionTime returns the coordinator's total time for one permit in ns, from the request to the return, while others
+// wait.
 func decisionTime(replicas int) float64 {
 	co := newCoordinator(replicas)
 	now := epoch.Add(time.Minute)
-	co.Reduce(epoch, permitAsk("first", 1))
-	for i := range permitWaiting {
-		co.Reduce(now, permitAsk("wait-"+strconv.Itoa(i), int64(replicas)*permitMemory*8/10))
+	co.Reduce(epoch, newPermitAsked("first", 1))
+	for i := range waitingPermits {
+		co.Reduce(now, newPermitAsked("wait-"+strconv.Itoa(i), int64(replicas)*permitMemory*8/10))
 	}
-	return timed(func(int) {
-		co.Reduce(now, permitAsk("request", permitMemory/2))
+	return nanosecondsPerCall(func(int) {
+		co.Reduce(now, newPermitAsked("request", permitMemory/2))
 		co.Reduce(now, event.PermitReturned{Request: "request", Service: "lyric", FailureDomain: "a"})
 	})
 }
 
 func reservedMemory(permits int) float64 {
 	co := newCoordinator(permits)
-	co.Reduce(epoch, permitAsk("first", 1))
+	co.Reduce(epoch, newPermitAsked("first", 1))
 	now := epoch.Add(time.Minute)
-	return grown(func() any {
+	return heapGrowth(func() any {
 		for i := range permits {
-			co.Reduce(now, permitAsk("request-"+strconv.Itoa(i), permitMemory/2))
+			co.Reduce(now, newPermitAsked("request-"+strconv.Itoa(i), permitMemory/2))
 		}
 		return co
 	})
 }
 
-// permitBytes is the encoded length of all messages of one permit, on one side.
+// permitBytes returns the encoded length of all messages of one permit, on one side.
 func permitBytes() (float64, error) {
 	request := "entry-012.5f3k2a9c1d-3f"
 	once := []wire.Message{
-		wire.PermitAsk(permitAsk(request, 1_000_000)),
+		wire.PermitAsk(newPermitAsked(request, 1_000_000)),
 		wire.PermitGrant{
 			From: "entry-012", Request: request, Service: "lyric", FailureDomain: "south-a", Granted: true,
 			Upstreams: []string{"lyric-assist-0123", "lyric-assist-0124"}, Lasts: permit.Lasts,
@@ -114,7 +116,7 @@
 		return 0, err
 	}
 	again, err := encodedLength(renewal)
-	return first + permitStream*again, err
+	return first + permitRenewals*again, err
 }
 
 func encodedLength(messages []wire.Message) (float64, error) {
--- a/internal/slope/slope.go
+++ b/internal/slope/slope.go
@@ -1,4 +1,4 @@
-// Package slope turns measurements at sizes that one machine can hold into figures at the size aimed at.
+// Package slope extrapolates measurements at sizes that fit on one machine linearly to the target size.
 package slope
 
 import (
@@ -10,9 +10,9 @@
 )
 
 var (
-	// Errors groups what this package returns.
+	// Errors is the namespace of this package's errors.
 	Errors = errorx.NewNamespace("slope")
-	// BadFile tells that a file of measurements cannot be used.
+	// BadFile is the error type of a file of measurements that cannot be used.
 	BadFile = Errors.NewType("bad_file")
 )
 
@@ -31,24 +31,24 @@
 	// Variable is what the sizes count, such as Replicas.
 	Variable string
 	Samples  []Sample
-	// Command gave the samples.
+	// Command is the command that measured the samples.
 	Command string
 }
 
-// Line is a value that grows evenly with the size.
+// Line is a linear function of the size.
 type Line struct {
 	Intercept float64
 	Slope     float64
 }
 
-// At returns the line's value at a size, never below 0, where a line may begin.
+// At returns the line's value at a size. A fitted line can be negative at small sizes, where At returns 0.
 func (ln Line) At(size float64) float64 {
 	return max(0, ln.Intercept+ln.Slope*size)
 }
 
-// Fit returns the line of least squares through the samples. One sample, or samples of one size, give a flat line, and so
-// do falling ones: no cost here falls with size, and noise carried to a size fourteen times as large would promise what
-// nobody measured.
+// Fit returns the least-squares line through the samples. With one sample, samples of one size or a falling line, it
+// returns the mean as a flat line. No cost here falls with size; a falling line is noise, and extrapolated to a size
+// fourteen times as large it would promise a low cost that nobody measured.
 func (sr Series) Fit() Line {
 	var sumSize, sumValue float64
 	count := float64(len(sr.Samples))
@@ -75,9 +75,9 @@
 	return Line{Intercept: meanValue - slope*meanSize, Slope: slope}
 }
 
-// Measured is a file of measurements.
+// Measured is the contents of a file of measurements.
 type Measured struct {
-	// Machine says what they were made on.
+	// Machine describes the machine on which they were made.
 	Machine string
 	Series  []Series
 }
@@ -87,15 +87,15 @@
 	var ms Measured
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return ms, BadFile.Wrap(err, "slope: %s cannot be read; make it with sailbench slopes", path)
+		return ms, BadFile.Wrap(err, "slope: %s cannot be read; create it with sailbench slopes", path)
 	}
 	if err := json.Unmarshal(raw, &ms); err != nil {
-		return ms, BadFile.Wrap(err, "slope: %s is no file of measurements; make it with sailbench slopes", path)
+		return ms, BadFile.Wrap(err, "slope: %s is not a file of measurements; create it with sailbench slopes", path)
 	}
 	return ms, nil
 }
 
-// Put replaces the series of the same name, or adds it.
+// Put replaces the series of the same name or appends it.
 func (ms *Measured) Put(sr Series) {
 	for i := range ms.Series {
 		if ms.Series[i].Name == sr.Name {
@@ -106,7 +106,7 @@
 	ms.Series = append(ms.Series, sr)
 }
 
-// Find returns the series of the name.
+// Find returns the series with the name.
 func (ms *Measured) Find(name string) (Series, error) {
 	for _, sr := range ms.Series {
 		if sr.Name == name {
@@ -116,7 +116,7 @@
 	return Series{}, BadFile.New("slope: no series %q; measure it with sailbench slopes", name)
 }
 
-// Write writes the file.
+// Write writes the measurements to a file.
 func (ms *Measured) Write(path string) error {
 	raw, err := json.MarshalIndent(ms, "", "  ")
 	if err != nil {
--- a/internal/slope/slope_test.go
+++ b/internal/slope/slope_test.go
@@ -15,12 +15,12 @@
 		at      float64
 		want    float64
 	}{
-		"a line":           {[]slope.Sample{{Size: 1, Value: 5}, {Size: 3, Value: 9}}, 10, 23},
-		"one sample":       {[]slope.Sample{{Size: 7, Value: 4}}, 1000, 4},
-		"one size twice":   {[]slope.Sample{{Size: 7, Value: 4}, {Size: 7, Value: 6}}, 1000, 5},
-		"none":             {nil, 10, 0},
-		"falling is flat":  {[]slope.Sample{{Size: 1, Value: 2}, {Size: 2, Value: 1}}, 10, 1.5},
-		"never below zero": {[]slope.Sample{{Size: 10, Value: 1}, {Size: 20, Value: 21}}, 1, 0},
+		"rising line":          {[]slope.Sample{{Size: 1, Value: 5}, {Size: 3, Value: 9}}, 10, 23},
+		"one sample":           {[]slope.Sample{{Size: 7, Value: 4}}, 1000, 4},
+		"samples of one size":  {[]slope.Sample{{Size: 7, Value: 4}, {Size: 7, Value: 6}}, 1000, 5},
+		"no samples":           {nil, 10, 0},
+		"falling line is flat": {[]slope.Sample{{Size: 1, Value: 2}, {Size: 2, Value: 1}}, 10, 1.5},
+		"never below zero":     {[]slope.Sample{{Size: 10, Value: 1}, {Size: 20, Value: 21}}, 1, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestTablesSayWhatIsNotMeasured(t *testing.T) {
+func TestTablesMarkUnmeasuredItems(t *testing.T) {
 	items := []slope.Item{
 		{Role: "Every instance", Resource: slope.Network, What: "probes", Series: "Known", Size: 10, Times: 2},
 		{Role: "Every instance", Resource: slope.Network, What: "digests", Series: "Unknown", Size: 10, Times: 1},
--- a/internal/slope/state.go
+++ b/internal/slope/state.go
@@ -13,7 +13,7 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Names of the series that MeasureState gives.
+// Names of the series that MeasureState returns.
 const (
 	ReplicaMemory      = "Reducer.ReplicaMemory"
 	OrganisationMemory = "Config.OrganisationMemory"
@@ -25,7 +25,7 @@
 	ObjectiveMemory    = "Burn.ObjectiveMemory"
 )
 
-// Sizes at which the reducer is measured.
+// Sizes at which the reducer and the configuration are measured.
 var (
 	replicaSizes      = []float64{40, 300, 1700, 12000}
 	organisationSizes = []float64{10, 100, 400, 1700}
@@ -33,14 +33,14 @@
 	objectiveSizes    = []float64{10, 50, 200}
 )
 
-// models is how many services the replicas are spread over.
-const models = 40
+// modelCount is the number of services over which the replicas are spread.
+const modelCount = 40
 
 // epoch is the time of the first event; only differences matter.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// heap returns the live bytes of the heap.
-func heap() float64 {
+// liveHeapBytes returns the bytes of live objects on the heap.
+func liveHeapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var memory runtime.MemStats
@@ -48,11 +48,11 @@
 	return float64(memory.HeapAlloc)
 }
 
-// grown returns the bytes that what build returns keeps alive.
-func grown(build func() any) float64 {
-	before := heap()
+// heapGrowth returns the bytes that the result of build keeps alive.
+func heapGrowth(build func() any) float64 {
+	before := liveHeapBytes()
 	kept := build()
-	after := heap()
+	after := liveHeapBytes()
 	runtime.KeepAlive(kept)
 	return max(0, after-before)
 }
@@ -77,7 +77,7 @@
 	return series
 }
 
-// measurement is a value to be measured at each of the sizes.
+// measurement is a value to be measured at several sizes.
 type measurement struct {
 	name, unit, variable string
 	sizes                []float64
@@ -93,15 +93,15 @@
 }
 
 func replicaMemory(size int) float64 {
-	return grown(func() any { return instance(size, 10) })
+	return heapGrowth(func() any { return newInstance(size, 10) })
 }
 
 func organisationMemory(size int) float64 {
-	return grown(func() any { return config(size) })
+	return heapGrowth(func() any { return newConfig(size) })
 }
 
-// config returns a configuration of the organisations and of as many services as there are models.
-func config(organisations int) *decl.Config {
+// newConfig returns a configuration with the Organisations and modelCount services.
+func newConfig(organisations int) *decl.Config {
 	cfg := &decl.Config{Version: 1, Organisations: map[string]decl.Organisation{}, Services: map[string]decl.Service{}}
 	for i := range organisations {
 		name := fmt.Sprintf("organisation-%04d", i)
@@ -111,7 +111,7 @@
 			Limits:       decl.Limits{RequestsPerSecond: 1e9, TokensPerSecond: 1e12},
 		}
 	}
-	for i := range models {
+	for i := range modelCount {
 		name := serviceName(i)
 		cfg.Services[name] = decl.Service{
 			Kind:         decl.KindModel,
@@ -124,20 +124,20 @@
 }
 
 func serviceName(number int) string {
-	return "model-" + strconv.Itoa(number%models)
+	return "model-" + strconv.Itoa(number%modelCount)
 }
 
-// instance returns the reducer of an instance that knows the replicas and the organisations.
-func instance(replicas, organisations int) *core.State {
+// newInstance returns the reducer of an Instance with the replicas and the Organisations.
+func newInstance(replicas, organisations int) *core.State {
 	st := core.New(core.Options{Name: "entry-0", FailureDomain: "a", Seed: 1})
-	st.Reduce(epoch, event.ConfigAccepted{Config: config(organisations)})
+	st.Reduce(epoch, event.ConfigAccepted{Config: newConfig(organisations)})
 	var listed event.UpstreamsListed
 	for i := range replicas {
 		listed.Upstreams = append(listed.Upstreams, event.Upstream{
 			Name:          "replica-" + strconv.Itoa(i),
 			Service:       serviceName(i),
 			Address:       fmt.Sprintf("10.%d.%d.%d:8000", i>>16, i>>8&255, i&255),
-			FailureDomain: string(rune('a' + i/models%7)),
+			FailureDomain: string(rune('a' + i/modelCount%7)),
 		})
 	}
 	st.Reduce(epoch, listed)
@@ -159,8 +159,8 @@
 }
 
 func openRequests(size int) float64 {
-	st := instance(300, 10)
-	return grown(func() any {
+	st := newInstance(300, 10)
+	return heapGrowth(func() any {
 		for i := 1; i <= size; i++ {
 			st.Reduce(epoch, arrival(i))
 		}
@@ -168,10 +168,10 @@
 	})
 }
 
-// requestTime is the reducer's whole time for one short request: arrival, first byte, end.
+// requestTime returns the reducer's total time for one short request in ns: arrival, first byte and end.
 func requestTime(replicas int) float64 {
-	st := instance(replicas, 1700)
-	return timed(func(number int) {
+	st := newInstance(replicas, 1700)
+	return nanosecondsPerCall(func(number int) {
 		now := epoch.Add(time.Duration(number) * time.Millisecond)
 		id := event.RequestID(number)
 		ev := arrival(number)
@@ -187,8 +187,8 @@
 	return float64(result.T.Nanoseconds()) / float64(result.N)
 }
 
-// timed returns the nanoseconds of one step; step is told its number, from 1.
-func timed(step func(number int)) float64 {
+// nanosecondsPerCall returns the mean time of a call of step in ns. step receives the number of the call, from 1.
+func nanosecondsPerCall(step func(number int)) float64 {
 	number := 0
 	return perOperation(testing.Benchmark(func(bm *testing.B) {
 		for range bm.N {
@@ -199,30 +199,30 @@
 }
 
 func reportTime(replicas int) float64 {
-	st := instance(replicas, 10)
-	return timed(func(number int) {
+	st := newInstance(replicas, 10)
+	return nanosecondsPerCall(func(number int) {
 		now := epoch.Add(time.Duration(number) * time.Millisecond)
 		st.Reduce(now, event.LoadReported{Upstream: "replica-" + strconv.Itoa(number%replicas), At: now, Load: event.Load{Running: 1}})
 	})
 }
 
-// tickTime is the time of a tick with nothing to do.
+// tickTime returns the time of a tick without any work in ns.
 func tickTime(replicas int) float64 {
-	st := instance(replicas, 10)
-	return timed(func(number int) {
+	st := newInstance(replicas, 10)
+	return nanosecondsPerCall(func(number int) {
 		st.Reduce(epoch.Add(time.Duration(number)*event.TickPeriod), event.Ticked{})
 	})
 }
 
 func applyTime(organisations int) float64 {
-	cfg := config(organisations)
-	return timed(func(int) {
-		applyOne(cfg)
+	cfg := newConfig(organisations)
+	return nanosecondsPerCall(func(int) {
+		applySmallPatch(cfg)
 	})
 }
 
 func objectiveMemory(size int) float64 {
-	return grown(func() any {
+	return heapGrowth(func() any {
 		trackers := make([]*burn.Tracker, size)
 		for i := range trackers {
 			trackers[i] = burn.New()
