--- a/internal/plat/plat.go
+++ b/internal/plat/plat.go
@@ -1,4 +1,5 @@
-// Package plat reads the platform's lagging list of live and leaving instances, upstreams and entry instances alike.
+// Package plat is a client of the platform's list of instances. The list contains all live and leaving instances, both
+// upstreams and this system's own instances, and lags behind their actual state.
 package plat
 
 import (
@@ -13,7 +14,7 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// PathInstances is where the platform serves its list.
+// PathInstances is the path at which the platform serves the list.
 const PathInstances = "/v1/instances"
 
 // ServiceEntry is the service name under which the platform lists this system's own instances.
@@ -25,12 +26,12 @@
 	StateLeaving = "Leaving"
 )
 
-// Entry is one listed instance.
+// Entry is an instance on the list.
 type Entry struct {
 	Name    string
 	Service string
 	Address string
-	// Peer is where an entry instance hears its peers, over UDP; empty for upstreams.
+	// Peer is the UDP address at which one of this system's instances receives from its peers; empty for upstreams.
 	Peer          string
 	FailureDomain string
 	// State is StateLive or StateLeaving.
@@ -40,24 +41,28 @@
 // Listing is the whole list.
 type Listing struct{ Instances []Entry }
 
-// Errors groups what this package returns; Unavailable tells that the list could not be read, so the last one holds.
 var (
-	Errors      = errorx.NewNamespace("plat")
+	// Errors is the namespace of the errors that this package returns.
+	Errors = errorx.NewNamespace("plat")
+	// Unavailable reports that the list could not be read or changed. After a failed read the last list stays in use.
 	Unavailable = Errors.NewType("unavailable", errorx.Temporary())
 )
 
 const (
+	// listTimeout is the timeout of one call to the platform.
 	listTimeout = 3 * time.Second
-	maxListing  = 16 << 20
+	// maxListing is the maximum size of the list in bytes.
+	maxListing = 16 << 20
 )
 
-// Client reads the list.
+// Client reads the list. It is not safe for concurrent use.
 type Client struct {
 	address string
 	http    *http.Client
-	// last is the newest list, and tag the platform's name for it.
+	// last is the list that was received last.
 	last Listing
-	tag  string
+	// etag is the ETag of last, empty if there is none.
+	etag string
 }
 
 // New returns a client of the platform at the address.
@@ -70,19 +75,19 @@
 	cl.http.CloseIdleConnections()
 }
 
-// List reads the list as it is now, which lags behind the truth. It is for one goroutine. A list that has not changed is
-// not sent again: with 12,000 upstreams it has more than a megabyte, and is read every second.
+// List reads the list. The request is conditional, so that the platform does not send an unchanged list again: with
+// 12,000 upstreams the list is larger than a megabyte, and it is read every second.
 func (cl *Client) List(ctx context.Context) (Listing, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+cl.address+PathInstances, nil)
 	if err != nil {
-		return Listing{}, Unavailable.Wrap(err, "plat: the address does not parse; give host:port")
+		return Listing{}, Unavailable.Wrap(err, "plat: the platform's address is invalid: give host:port")
 	}
-	if cl.tag != "" {
-		req.Header.Set("If-None-Match", cl.tag)
+	if cl.etag != "" {
+		req.Header.Set("If-None-Match", cl.etag)
 	}
 	resp, err := cl.http.Do(req)
 	if err != nil {
-		return Listing{}, Unavailable.Wrap(err, "plat: no list; the last one stays in use")
+		return Listing{}, Unavailable.Wrap(err, "plat: cannot read the list: the last list stays in use")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	switch resp.StatusCode {
@@ -91,20 +96,20 @@
 	case http.StatusNotModified:
 		return cl.last, nil
 	}
-	return Listing{}, Unavailable.New("plat: the list answered %s; the last one stays in use", resp.Status)
+	return Listing{}, Unavailable.New("plat: the platform answered the list request with %s: the last list stays in use", resp.Status)
 }
 
 func (cl *Client) read(resp *http.Response) (Listing, error) {
 	var listing Listing
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListing)).Decode(&listing); err != nil {
-		return Listing{}, Unavailable.Wrap(err, "plat: the list is no JSON; the last one stays in use")
+		return Listing{}, Unavailable.Wrap(err, "plat: the list is not valid JSON: the last list stays in use")
 	}
 	cl.last = listing
-	cl.tag = resp.Header.Get("ETag")
+	cl.etag = resp.Header.Get("ETag")
 	return listing, nil
 }
 
-// Events splits a listing into what the reducers take.
+// Events converts the listing into the reducers' events, one for upstreams and one for this system's own instances.
 func (ls Listing) Events() (event.UpstreamsListed, event.InstancesListed) {
 	var ups event.UpstreamsListed
 	var insts event.InstancesListed
