--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs makes a certificate authority and instance certificates for tests and the demonstration. A fleet in
-// service brings its own.
+// Package certs creates a certificate authority and instance certificates for tests and the demonstration. A production
+// fleet uses certificates of its own.
 package certs
 
 import (
@@ -15,15 +15,16 @@
 	"time"
 )
 
-// validity is how long the certificates hold, from a little before now on, for machines whose clocks differ.
 const (
+	// validity is the time from now until a certificate expires.
 	validity = 24 * time.Hour
+	// backdate is how long before now a certificate becomes valid, so that machines whose clocks differ accept it.
 	backdate = time.Hour
 )
 
 // Authority signs instance certificates.
 type Authority struct {
-	// Certificate is the authority's own, in PEM.
+	// Certificate is the authority's own certificate in PEM.
 	Certificate []byte
 	parsed      *x509.Certificate
 	key         *ecdsa.PrivateKey
@@ -70,7 +71,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: raw})
 }
 
-// Issue returns a certificate for an instance's name.
+// Issue returns a certificate, with its key, for an instance's name.
 func (au *Authority) Issue(name string) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -91,7 +92,7 @@
 	return Pair{Certificate: encode("CERTIFICATE", raw), Key: encode("PRIVATE KEY", private)}, nil
 }
 
-// Files are the paths of the settings of one instance.
+// Files holds the paths of an instance's PEM files: the authority's certificate, and its own certificate and private key.
 type Files struct{ CA, Certificate, Key string }
 
 // Write issues a certificate for the name and writes it, its key and the authority's certificate into the directory.
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,6 +1,6 @@
-// Package fault is a proxy between two processes that does to their traffic what networks do: it delays, drops, resets,
-// cuts, slows, loses answers, and lets open connections go silent for good while new ones work. Faults are set while it
-// runs. It is a tool of tests and experiments; the product has no part of it.
+// Package fault injects network faults into the traffic between two processes. A TCP or UDP proxy delays traffic, limits
+// its rate, drops, resets or cuts connections, loses answers, and makes open connections silent for good while new ones
+// work. Faults can be changed while the proxy runs. Only tests and experiments use it; the product does not.
 package fault
 
 import (
@@ -17,29 +17,29 @@
 )
 
 var (
-	// Errors groups what this package returns.
+	// Errors is the namespace of the errors of this package.
 	Errors = errorx.NewNamespace("fault")
-	// BadFaults tells that faults cannot be set.
+	// BadFaults is the type of errors about faults or networks that the proxy does not support.
 	BadFaults = Errors.NewType("bad_faults")
 )
 
-// Faults are what the proxy does to traffic from now on; the zero value passes everything on unharmed.
+// Faults are the faults that the proxy injects; the zero value forwards everything unchanged.
 type Faults struct {
-	// Delay holds up everything in each direction.
+	// Delay is added to everything in each direction.
 	Delay decl.Duration
-	// Drop is the share of datagrams that are lost, or of new connections that are accepted and then hear nothing.
+	// Drop is the share, 0 to 1, of datagrams that are dropped, or of new connections that are accepted and then stay silent.
 	Drop float64
-	// Reset resets new connections, as a host does on which no process listens. UDP has no such thing.
+	// Reset resets new connections, as a host does on which no process listens. TCP only.
 	Reset bool
-	// CutAfter closes a connection when so many bytes of answers have passed over it; 0 never does. TCP only.
+	// CutAfter is the number of bytes of answers after which a connection is closed; 0 disables it. TCP only.
 	CutAfter int64
-	// LoseAnswer passes requests on and closes the connection where the answer begins. With UDP it drops all answers.
+	// LoseAnswer forwards requests and closes the connection at the first byte of an answer. With UDP it drops all answers.
 	LoseAnswer bool
-	// BytesPerSecond bounds each direction of each connection; 0 is no bound. TCP only.
+	// BytesPerSecond limits the rate in each direction of each connection; 0 is no limit. TCP only.
 	BytesPerSecond int64
 }
 
-// Check returns a BadFaults error that names the field and what is allowed.
+// Check returns a BadFaults error with the field and the allowed values if a field is out of range.
 func (fs Faults) Check() error {
 	if fs.Delay < 0 {
 		return BadFaults.New("fault: Delay is %s; give 0s or more", fs.Delay.Std())
@@ -53,21 +53,23 @@
 	return nil
 }
 
-// Counts tells what the proxy has done.
+// Counts counts the connections of the proxy and the faults that it injected.
 type Counts struct {
-	// Opened counts connections, or the sources of datagrams.
+	// Opened counts the connections, or sources of datagrams, since the start.
 	Opened int64
-	// Open is how many are open now, silent ones included.
+	// Open is the number of connections or sources that are open now, silent ones included.
 	Open int64
-	// Silenced, Cut and Dropped count what faults did; a dropped connection or datagram counts in Dropped.
+	// Silenced counts the connections or sources that Silence made silent, and with UDP also those that were cut.
 	Silenced int64
-	Cut      int64
-	Dropped  int64
+	// Cut counts the TCP connections that Cut, CutAfter or LoseAnswer closed.
+	Cut int64
+	// Dropped counts the connections and datagrams that were dropped, and with UDP also the lost answers.
+	Dropped int64
 }
 
-// Proxy passes traffic on from its own address to the target's.
+// Proxy forwards traffic from its own address to the target.
 type Proxy struct {
-	// Address is where it listens.
+	// Address is the host:port on which the proxy listens.
 	Address string
 	target  string
 	tcp     *net.TCPListener
@@ -80,15 +82,15 @@
 	counts Counts
 }
 
-// link is one connection, or one source of datagrams.
+// link is a TCP connection or a source of datagrams.
 type link interface {
-	// silence makes it pass nothing more, for good, and stay open.
+	// silence keeps the link open but stops forwarding on it for good.
 	silence()
-	// cut closes it.
+	// cut closes the link.
 	cut()
 }
 
-// New listens on the address, host:port, of the network, "tcp" or "udp". Run passes traffic on.
+// New returns a proxy that listens on the address, host:port, of the network, "tcp" or "udp". Run forwards the traffic.
 func New(network, listen, target string) (*Proxy, error) {
 	px := &Proxy{target: target, random: rand.New(rand.NewPCG(1, 1)), links: map[link]struct{}{}}
 	px.faults.Store(&Faults{})
@@ -113,7 +115,7 @@
 	return px, nil
 }
 
-// Run passes traffic on until the context ends; then it closes everything and returns.
+// Run forwards traffic until the context ends; then it closes all connections and returns.
 func (px *Proxy) Run(ctx context.Context) error {
 	if px.tcp != nil {
 		return px.runTCP(ctx)
@@ -121,7 +123,7 @@
 	return px.runUDP(ctx)
 }
 
-// Set puts faults in force, for open connections too.
+// Set replaces the active faults, also for open connections. Reset and Drop of TCP affect new connections only.
 func (px *Proxy) Set(fs Faults) error {
 	if err := fs.Check(); err != nil {
 		return err
@@ -130,12 +132,12 @@
 	return nil
 }
 
-// Faults returns those in force.
+// Faults returns the active faults.
 func (px *Proxy) Faults() Faults {
 	return *px.faults.Load()
 }
 
-// Counts returns what was done so far.
+// Counts returns the counts since the start.
 func (px *Proxy) Counts() Counts {
 	px.mu.Lock()
 	defer px.mu.Unlock()
@@ -144,21 +146,21 @@
 	return counts
 }
 
-// Silence makes every open connection pass nothing more, for good, while new ones work.
+// Silence stops forwarding on every open connection for good, without closing it. New connections work.
 func (px *Proxy) Silence() {
-	for _, ln := range px.open() {
+	for _, ln := range px.openLinks() {
 		ln.silence()
 	}
 }
 
 // Cut closes every open connection.
 func (px *Proxy) Cut() {
-	for _, ln := range px.open() {
+	for _, ln := range px.openLinks() {
 		ln.cut()
 	}
 }
 
-func (px *Proxy) open() []link {
+func (px *Proxy) openLinks() []link {
 	px.mu.Lock()
 	defer px.mu.Unlock()
 	links := make([]link, 0, len(px.links))
@@ -181,14 +183,14 @@
 	delete(px.links, ln)
 }
 
-// count changes the counts under the lock.
+// count updates the counts under the lock.
 func (px *Proxy) count(change func(*Counts)) {
 	px.mu.Lock()
 	defer px.mu.Unlock()
 	change(&px.counts)
 }
 
-// drops draws whether a connection or datagram is lost.
+// drops draws at random whether to drop a connection or datagram, with the share as the probability, and counts it.
 func (px *Proxy) drops(share float64) bool {
 	if share <= 0 {
 		return false
@@ -202,8 +204,8 @@
 	return true
 }
 
-// wait pauses until the time or the end of the context.
-func wait(ctx context.Context, until time.Time) {
+// waitUntil waits until the time or the end of the context.
+func waitUntil(ctx context.Context, until time.Time) {
 	period := time.Until(until)
 	if period <= 0 {
 		return
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -17,8 +17,8 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// start runs a proxy until the test ends.
-func start(t *testing.T, network, target string) *fault.Proxy {
+// startProxy runs a proxy until the test ends.
+func startProxy(t *testing.T, network, target string) *fault.Proxy {
 	t.Helper()
 	px, err := fault.New(network, "127.0.0.1:0", target)
 	assert.NilError(t, err)
@@ -32,8 +32,8 @@
 	return px
 }
 
-// echo answers each line with itself, until the test ends.
-func echo(t *testing.T) string {
+// startEcho starts a TCP server that echoes what it receives until the test ends, and returns its address.
+func startEcho(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -61,8 +61,8 @@
 	return conn
 }
 
-// ask writes a word and returns what comes back within the time.
-func ask(conn net.Conn, word string, within time.Duration) (string, error) {
+// exchange writes a word and returns the echo that arrives within the time.
+func exchange(conn net.Conn, word string, within time.Duration) (string, error) {
 	if _, err := conn.Write([]byte(word)); err != nil {
 		return "", err
 	}
@@ -73,12 +73,12 @@
 }
 
 const (
-	enough = 10 * time.Second
-	// nothing is how long a test listens for what must not come; a busy machine can only make it pass.
-	nothing = 100 * time.Millisecond
+	answerTimeout = 10 * time.Second
+	// silenceTime is how long a test waits for data that must not arrive. A busy machine can only make such a test pass.
+	silenceTime = 100 * time.Millisecond
 )
 
-func TestTCP(t *testing.T) {
+func TestTCPFaults(t *testing.T) {
 	cases := map[string]struct {
 		faults fault.Faults
 		want   string
@@ -93,14 +93,14 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			px := start(t, "tcp", echo(t))
+			px := startProxy(t, "tcp", startEcho(t))
 			assert.NilError(t, px.Set(tc.faults))
-			// A reset can be met while connecting already.
+			// A reset can already fail the dial.
 			got := ""
 			conn, err := net.Dial("tcp", px.Address)
 			if err == nil {
 				defer func() { _ = conn.Close() }()
-				got, err = ask(conn, "hello", enough)
+				got, err = exchange(conn, "hello", answerTimeout)
 			}
 			assert.Equal(t, got, tc.want)
 			if tc.err == "" {
@@ -113,23 +113,23 @@
 }
 
 func TestSilence(t *testing.T) {
-	// Something between two processes loses track of their open connections. Nothing comes on them any more, no end
-	// either, while a new connection works.
+	// A device between two processes loses the state of their open connections. Nothing arrives on them any more, not
+	// even a close, while new connections work.
 	for _, network := range []string{"tcp", "udp"} {
 		t.Run(network, func(t *testing.T) {
-			target := echo(t)
+			target := startEcho(t)
 			if network == "udp" {
-				target = echoUDP(t)
+				target = startUDPEcho(t)
 			}
-			px := start(t, network, target)
+			px := startProxy(t, network, target)
 			old := dial(t, network, px.Address)
-			got, err := ask(old, "hello", enough)
+			got, err := exchange(old, "hello", answerTimeout)
 			assert.NilError(t, err)
 			assert.Equal(t, got, "hello")
 			px.Silence()
-			_, err = ask(old, "hello", nothing)
+			_, err = exchange(old, "hello", silenceTime)
 			assert.ErrorContains(t, err, "timeout")
-			got, err = ask(dial(t, network, px.Address), "again", enough)
+			got, err = exchange(dial(t, network, px.Address), "again", answerTimeout)
 			assert.NilError(t, err)
 			assert.Equal(t, got, "again")
 			assert.Equal(t, px.Counts().Silenced, int64(1))
@@ -137,7 +137,7 @@
 	}
 }
 
-func echoUDP(t *testing.T) string {
+func startUDPEcho(t *testing.T) string {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -155,20 +155,20 @@
 	return conn.LocalAddr().String()
 }
 
-func TestUDPDrop(t *testing.T) {
-	px := start(t, "udp", echoUDP(t))
+func TestUDPDropAndDelay(t *testing.T) {
+	px := startProxy(t, "udp", startUDPEcho(t))
 	assert.NilError(t, px.Set(fault.Faults{Drop: 1}))
-	_, err := ask(dial(t, "udp", px.Address), "hello", nothing)
+	_, err := exchange(dial(t, "udp", px.Address), "hello", silenceTime)
 	assert.ErrorContains(t, err, "timeout")
 	assert.Equal(t, px.Counts().Dropped, int64(1))
 	assert.NilError(t, px.Set(fault.Faults{Delay: decl.Duration(10 * time.Millisecond)}))
-	got, err := ask(dial(t, "udp", px.Address), "hello", enough)
+	got, err := exchange(dial(t, "udp", px.Address), "hello", answerTimeout)
 	assert.NilError(t, err)
 	assert.Equal(t, got, "hello")
 }
 
 func TestControl(t *testing.T) {
-	px := start(t, "tcp", echo(t))
+	px := startProxy(t, "tcp", startEcho(t))
 	server := httptest.NewServer(px.Control())
 	defer server.Close()
 	cases := map[string]struct {
--- a/internal/fault/tcp.go
+++ b/internal/fault/tcp.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// dialTime bounds how long the proxy tries to reach its target.
-	dialTime = 2 * time.Second
-	// partBytes is how much is passed on at a time.
-	partBytes = 32 << 10
-	// delayedParts is how many parts are under way while they are delayed.
-	delayedParts = 256
+	// dialTimeout is the timeout for connecting to the target.
+	dialTimeout = 2 * time.Second
+	// chunkBytes is the maximum number of bytes that are forwarded at a time.
+	chunkBytes = 32 << 10
+	// maxDelayedChunks is how many chunks of one direction can wait for their delay. Beyond it the proxy stops reading.
+	maxDelayedChunks = 256
 )
 
 // runTCP accepts connections until the context ends.
@@ -30,10 +30,10 @@
 		for {
 			caller, err := px.tcp.AcceptTCP()
 			if err != nil {
-				return ended(ctx, err)
+				return closeError(ctx, err)
 			}
 			group.Go(func() error {
-				px.connection(ctx, caller)
+				px.serveConnection(ctx, caller)
 				return nil
 			})
 		}
@@ -41,23 +41,23 @@
 	return group.Wait()
 }
 
-// ended keeps an error unless the context's end is its cause.
-func ended(ctx context.Context, err error) error {
+// closeError returns the context's error if the end of the context closed the socket, and otherwise err itself.
+func closeError(ctx context.Context, err error) error {
 	if ctx.Err() != nil && errors.Is(err, net.ErrClosed) {
 		return ctx.Err()
 	}
 	return err
 }
 
-// connection is one connection of a caller and the one to the target.
+// connection is a caller's connection together with the proxy's connection to the target.
 type connection struct {
 	px     *Proxy
 	caller *net.TCPConn
 	target *net.TCPConn
 	stop   context.CancelFunc
 	silent atomic.Bool
-	// answered counts the bytes of answers.
-	answered atomic.Int64
+	// responseBytes counts the bytes that the target has sent.
+	responseBytes atomic.Int64
 }
 
 // silence implements link.
@@ -73,14 +73,14 @@
 	cn.stop()
 }
 
-// reset ends a connection with a reset instead of an orderly end.
+// reset closes a connection with a TCP reset.
 func reset(conn *net.TCPConn) {
 	_ = conn.SetLinger(0)
 	_ = conn.Close()
 }
 
-// connection passes one connection on until either end or a fault closes it.
-func (px *Proxy) connection(ctx context.Context, caller *net.TCPConn) {
+// serveConnection forwards a connection until both sides are at their end, or a fault or the context closes it.
+func (px *Proxy) serveConnection(ctx context.Context, caller *net.TCPConn) {
 	defer func() { _ = caller.Close() }()
 	fs := px.Faults()
 	if fs.Reset {
@@ -93,22 +93,22 @@
 	cn.silent.Store(px.drops(fs.Drop))
 	px.add(cn)
 	defer px.remove(cn)
-	target, err := (&net.Dialer{Timeout: dialTime}).DialContext(ctx, "tcp", px.target)
+	target, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", px.target)
 	if err != nil {
-		// What the caller would have met without the proxy.
+		// Without the proxy, the caller would see a refused connection.
 		reset(caller)
 		return
 	}
 	cn.target = target.(*net.TCPConn)
 	defer func() { _ = target.Close() }()
-	cn.pass(ctx)
+	cn.copyBoth(ctx)
 }
 
-// pass copies both ways until both are at their end, or the context is.
-func (cn *connection) pass(ctx context.Context) {
+// copyBoth copies both directions until both are at their end or the context ends.
+func (cn *connection) copyBoth(ctx context.Context) {
 	var group errgroup.Group
-	group.Go(func() error { return cn.copy(ctx, cn.caller, cn.target, nil) })
-	group.Go(func() error { return cn.copy(ctx, cn.target, cn.caller, cn.answer) })
+	group.Go(func() error { return cn.copyDirection(ctx, cn.caller, cn.target, nil) })
+	group.Go(func() error { return cn.copyDirection(ctx, cn.target, cn.caller, cn.filterResponse) })
 	both := make(chan struct{})
 	go func() {
 		defer close(both)
@@ -123,44 +123,45 @@
 	<-both
 }
 
-// answer decides what part of an answer passes, and reports whether the connection goes on.
-func (cn *connection) answer(part []byte) ([]byte, bool) {
+// filterResponse returns the part of the target's data to forward, and reports whether the connection stays open.
+func (cn *connection) filterResponse(data []byte) ([]byte, bool) {
 	fs := cn.px.Faults()
 	if fs.LoseAnswer {
 		return nil, false
 	}
-	before := cn.answered.Load()
-	after := cn.answered.Add(int64(len(part)))
+	before := cn.responseBytes.Load()
+	after := cn.responseBytes.Add(int64(len(data)))
 	if fs.CutAfter == 0 || after < fs.CutAfter {
-		return part, true
+		return data, true
 	}
-	return part[:max(0, fs.CutAfter-before)], false
+	return data[:max(0, fs.CutAfter-before)], false
 }
 
-// part is some bytes on their way, with the time at which they may go on.
-type part struct {
+// chunk is data in transit.
+type chunk struct {
 	bytes []byte
-	due   time.Time
-	// last closes the connection behind it.
+	// due is the earliest time to forward the data.
+	due time.Time
+	// last reports whether the connection is cut after this chunk.
 	last bool
 }
 
-// copy passes one direction on. The filter, if there is one, decides what passes.
-func (cn *connection) copy(ctx context.Context, from, to *net.TCPConn, filter func([]byte) ([]byte, bool)) error {
-	parts := make(chan part, delayedParts)
+// copyDirection forwards one direction. A filter, if not nil, returns the data to forward and whether to continue.
+func (cn *connection) copyDirection(ctx context.Context, from, to *net.TCPConn, filter func([]byte) ([]byte, bool)) error {
+	chunks := make(chan chunk, maxDelayedChunks)
 	var group errgroup.Group
-	group.Go(func() error { return cn.write(ctx, to, parts) })
-	cn.read(ctx, from, parts, filter)
-	close(parts)
+	group.Go(func() error { return cn.write(ctx, to, chunks) })
+	cn.read(ctx, from, chunks, filter)
+	close(chunks)
 	return group.Wait()
 }
 
-func (cn *connection) read(ctx context.Context, from *net.TCPConn, parts chan<- part, filter func([]byte) ([]byte, bool)) {
+func (cn *connection) read(ctx context.Context, from *net.TCPConn, chunks chan<- chunk, filter func([]byte) ([]byte, bool)) {
 	for {
-		buf := make([]byte, partBytes)
+		buf := make([]byte, chunkBytes)
 		count, err := from.Read(buf)
 		if cn.silent.Load() {
-			// Neither bytes nor the end of the connection reach the other side any more.
+			// Neither data nor the end of the connection reaches the other side any more.
 			<-ctx.Done()
 			return
 		}
@@ -171,7 +172,7 @@
 		if len(passed) > 0 || !open {
 			due := time.Now().Add(cn.px.Faults().Delay.Std())
 			select {
-			case parts <- part{bytes: passed, due: due, last: !open}:
+			case chunks <- chunk{bytes: passed, due: due, last: !open}:
 			case <-ctx.Done():
 				return
 			}
@@ -182,23 +183,23 @@
 	}
 }
 
-// write passes the parts on when they are due, and then the end of the direction.
-func (cn *connection) write(ctx context.Context, to *net.TCPConn, parts <-chan part) error {
-	for pt := range parts {
-		wait(ctx, pt.due)
+// write forwards the chunks when they are due, and then closes its direction.
+func (cn *connection) write(ctx context.Context, to *net.TCPConn, chunks <-chan chunk) error {
+	for cnk := range chunks {
+		waitUntil(ctx, cnk.due)
 		if cn.silent.Load() {
 			continue
 		}
-		if _, err := to.Write(pt.bytes); err != nil {
+		if _, err := to.Write(cnk.bytes); err != nil {
 			cn.stop()
 			continue
 		}
-		if pt.last {
+		if cnk.last {
 			cn.cut()
 			continue
 		}
 		if rate := cn.px.Faults().BytesPerSecond; rate > 0 {
-			wait(ctx, time.Now().Add(time.Duration(len(pt.bytes))*time.Second/time.Duration(rate)))
+			waitUntil(ctx, time.Now().Add(time.Duration(len(cnk.bytes))*time.Second/time.Duration(rate)))
 		}
 	}
 	return to.CloseWrite()
--- a/internal/fault/udp.go
+++ b/internal/fault/udp.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// datagramBytes is the longest datagram.
+	// datagramBytes is the maximum length of a datagram.
 	datagramBytes = 64 << 10
-	// sourceIdle is how long a source of datagrams is remembered after its last answer.
+	// sourceIdle is how long a source is kept after the last datagram that the target sent it.
 	sourceIdle = 2 * time.Minute
 )
 
-// source is one sender of datagrams, with a socket of its own to the target.
+// source is the address of a sender of datagrams, with its own socket to the target.
 type source struct {
 	px     *Proxy
 	from   netip.AddrPort
@@ -33,12 +33,12 @@
 	}
 }
 
-// cut implements link; there is no connection to close, so the source is silenced.
+// cut implements link. UDP has no connection to close, so the source is made silent.
 func (sr *source) cut() {
 	sr.silence()
 }
 
-// runUDP passes datagrams on until the context ends.
+// runUDP forwards datagrams until the context ends.
 func (px *Proxy) runUDP(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -49,14 +49,14 @@
 	return group.Wait()
 }
 
-// receive passes datagrams of callers on to the target.
+// receive forwards the callers' datagrams to the target.
 func (px *Proxy) receive(ctx context.Context, group *errgroup.Group) error {
 	sources := &sources{byAddress: map[netip.AddrPort]*source{}}
 	buf := make([]byte, datagramBytes)
 	for {
 		count, from, err := px.udp.ReadFromUDPAddrPort(buf)
 		if err != nil {
-			return ended(ctx, err)
+			return closeError(ctx, err)
 		}
 		sr := sources.find(from)
 		if sr == nil {
@@ -66,7 +66,7 @@
 			sources.add(sr)
 			group.Go(func() error {
 				defer sources.remove(sr)
-				sr.answer(ctx)
+				sr.relayResponses(ctx)
 				return nil
 			})
 		}
@@ -74,7 +74,7 @@
 	}
 }
 
-// sources are the known senders by their address.
+// sources holds the known sources by address.
 type sources struct {
 	mu        sync.Mutex
 	byAddress map[netip.AddrPort]*source
@@ -108,8 +108,8 @@
 	return sr, nil
 }
 
-// answer passes datagrams of the target back until the source is idle or the context ends.
-func (sr *source) answer(ctx context.Context) {
+// relayResponses forwards the target's datagrams to the source until the source is idle or the context ends.
+func (sr *source) relayResponses(ctx context.Context) {
 	defer sr.px.remove(sr)
 	group, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, func() { _ = sr.target.Close() })
@@ -133,7 +133,7 @@
 	}
 }
 
-// forward sends one datagram on, at once or after the delay, unless it is lost.
+// forward sends a datagram, immediately or after the delay, unless the source is silent or the datagram is dropped.
 func (px *Proxy) forward(ctx context.Context, group *errgroup.Group, sr *source, datagram []byte, send func([]byte)) {
 	fs := px.Faults()
 	if sr.silent.Load() || px.drops(fs.Drop) {
@@ -143,11 +143,11 @@
 		send(datagram)
 		return
 	}
-	kept := append([]byte(nil), datagram...)
+	copied := append([]byte(nil), datagram...)
 	due := time.Now().Add(fs.Delay.Std())
 	group.Go(func() error {
-		wait(ctx, due)
-		send(kept)
+		waitUntil(ctx, due)
+		send(copied)
 		return nil
 	})
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet runs real processes for tests and experiments: entry instances and the stand-ins of the outside
-// systems. The product itself starts no process.
+// Package fleet starts and stops processes for tests and experiments: entry instances, and stand-ins for the external
+// systems. The product itself starts no processes.
 package fleet
 
 import (
@@ -20,7 +20,7 @@
 	"dandelionsail.example/dandelionsail/internal/plat"
 )
 
-// programVariable tells a re-executed binary which program to be.
+// programVariable is the environment variable that selects the program which a re-executed binary runs.
 const programVariable = "DANDELIONSAIL_PROGRAM"
 
 // Programs of a fleet.
@@ -29,7 +29,7 @@
 	ProgramBench   = "sailbench"
 )
 
-// Dispatch runs the program that the environment names and exits, or returns if it names none. A binary that starts
+// Dispatch runs the program that the environment selects and exits, or returns if it selects none. A binary that starts
 // fleets calls it first, so that every process of a fleet is the same build as its test.
 func Dispatch(programs map[string]func(args []string) int) {
 	run, ok := programs[os.Getenv(programVariable)]
@@ -38,41 +38,42 @@
 	}
 }
 
-// startTime bounds the time in which a process must print its address.
-const startTime = 20 * time.Second
+// startTimeout is the time within which a new process must print its address.
+const startTimeout = 20 * time.Second
 
 // Process is one process of a fleet.
 type Process struct {
 	Name    string
 	Address string
-	// Peer is the second address that an entry instance prints, empty for others.
+	// Peer is the peer address that an entry instance prints second. It is empty for other processes.
 	Peer  string
 	cmd   *exec.Cmd
 	ended chan error
 }
 
-// Fleet is a set of processes that end with it.
+// Fleet is a set of processes that Close ends.
 type Fleet struct {
-	// Logs takes what the processes write to standard error; nil drops it.
+	// Logs receives the standard error of the processes; nil discards it.
 	Logs      io.Writer
 	Platform  *Process
 	mu        sync.Mutex
 	processes []*Process
-	// authority signs the instances' keys, which are files in keys.
+	// authority signs the instances' certificates.
 	authority *certs.Authority
-	keys      string
+	// keyDir is the directory of the instances' certificates and keys.
+	keyDir string
 }
 
-// Start runs one program with the arguments and waits for the line of addresses that it prints first.
+// Start runs a program with the arguments and waits for its first line of output, which holds its addresses.
 func (fl *Fleet) Start(program, name string, args ...string) (*Process, error) {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	pr := &Process{Name: name, cmd: exec.Command(self, args...), ended: make(chan error, 1)}
+	pr := &Process{Name: name, cmd: exec.Command(executable, args...), ended: make(chan error, 1)}
 	pr.cmd.Env = append(os.Environ(), programVariable+"="+program)
 	pr.cmd.Stderr = fl.Logs
-	// A process must not outlive the test that started it.
+	// The kernel kills the process when its parent dies, so that it does not outlive the test that started it.
 	pr.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := pr.cmd.StdoutPipe()
 	if err != nil {
@@ -98,36 +99,36 @@
 }
 
 func firstLine(lines *bufio.Reader) (string, error) {
-	type read struct {
+	type lineResult struct {
 		line string
 		err  error
 	}
-	got := make(chan read, 1)
+	got := make(chan lineResult, 1)
 	go func() {
 		line, err := lines.ReadString('\n')
-		got <- read{strings.TrimSpace(line), err}
+		got <- lineResult{strings.TrimSpace(line), err}
 	}()
 	select {
-	case rd := <-got:
-		return rd.line, rd.err
-	case <-time.After(startTime):
+	case res := <-got:
+		return res.line, res.err
+	case <-time.After(startTimeout):
 		return "", context.DeadlineExceeded
 	}
 }
 
-// StartPlatform runs the platform stand-in.
+// StartPlatform starts the platform stand-in.
 func (fl *Fleet) StartPlatform(args ...string) error {
 	pr, err := fl.Start(ProgramBench, "platform", append([]string{"standin", "platform"}, args...)...)
 	fl.Platform = pr
 	return err
 }
 
-// StartEngine runs a model engine that the platform lists.
+// StartEngine starts a model engine that the platform lists.
 func (fl *Fleet) StartEngine(name, service, domain string, args ...string) (*Process, error) {
 	return fl.startReplica("engine", name, service, domain, args)
 }
 
-// StartService runs a plain service that the platform lists.
+// StartService starts a plain service that the platform lists.
 func (fl *Fleet) StartService(name, service, domain string, args ...string) (*Process, error) {
 	return fl.startReplica("service", name, service, domain, args)
 }
@@ -139,13 +140,13 @@
 	return fl.Start(ProgramBench, name, append(all, args...)...)
 }
 
-// StartEntry runs an entry instance and has the platform list it.
+// StartEntry starts an entry instance and adds it to the platform's list.
 func (fl *Fleet) StartEntry(name, domain string, args ...string) (*Process, error) {
 	all := []string{
 		"entry", "--name", name, "--failure-domain", domain, "--listen", "127.0.0.1:0",
 		"--platform", fl.Platform.Address, "--store", fl.Platform.Address,
 	}
-	keys, err := fl.issue(name)
+	keys, err := fl.issueKeys(name)
 	if err != nil {
 		return nil, err
 	}
@@ -159,8 +160,8 @@
 	})
 }
 
-// issue writes the keys of an instance.
-func (fl *Fleet) issue(name string) (certs.Files, error) {
+// issueKeys writes the certificate and key of an instance to files.
+func (fl *Fleet) issueKeys(name string) (certs.Files, error) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if fl.authority == nil {
@@ -168,15 +169,15 @@
 		if err != nil {
 			return certs.Files{}, err
 		}
-		if fl.keys, err = os.MkdirTemp("", "dandelionsail-keys-"); err != nil {
+		if fl.keyDir, err = os.MkdirTemp("", "dandelionsail-keys-"); err != nil {
 			return certs.Files{}, err
 		}
 		fl.authority = authority
 	}
-	return fl.authority.Write(fl.keys, name)
+	return fl.authority.Write(fl.keyDir, name)
 }
 
-// WaitReady waits until the entry instance at the address is ready. The error has what it said last.
+// WaitReady waits until the entry instance at the address is ready. The error quotes its last readiness answer.
 func WaitReady(ctx context.Context, address string) error {
 	last := "no answer"
 	for {
@@ -195,26 +196,26 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("fleet: %s did not become ready, it said last %q: %w", address, last, ctx.Err())
+			return fmt.Errorf("fleet: %s did not become ready, last answer %q: %w", address, last, ctx.Err())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// maxReadyBody bounds what is quoted of an instance that is not ready.
+// maxReadyBody is the maximum number of bytes that are quoted from the answer of an instance that is not ready.
 const maxReadyBody = 1 << 10
 
-// Kill ends the process at once.
+// Kill ends the process immediately.
 func (pr *Process) Kill() error {
 	return pr.signal(syscall.SIGKILL)
 }
 
-// Pause freezes the process until Resume.
+// Pause stops the process until Resume.
 func (pr *Process) Pause() error {
 	return pr.signal(syscall.SIGSTOP)
 }
 
-// Resume lets a paused process go on.
+// Resume continues a paused process.
 func (pr *Process) Resume() error {
 	return pr.signal(syscall.SIGCONT)
 }
@@ -224,17 +225,17 @@
 	return pr.signal(syscall.SIGTERM)
 }
 
-// Dump asks the process to write the stacks of all its goroutines to its log, and to end.
+// Dump makes the process write the stacks of all its goroutines to its log and exit.
 func (pr *Process) Dump() error {
 	return pr.signal(syscall.SIGQUIT)
 }
 
-// Hangup asks the process to read its settings again.
+// Hangup asks the process to reload its settings.
 func (pr *Process) Hangup() error {
 	return pr.signal(syscall.SIGHUP)
 }
 
-// signal leaves a process alone that has ended, as it does when two faults meet it.
+// signal sends a signal to the process. It ignores a process that has ended, since two faults may kill the same one.
 func (pr *Process) signal(sig syscall.Signal) error {
 	err := pr.cmd.Process.Signal(sig)
 	if errors.Is(err, os.ErrProcessDone) {
@@ -243,7 +244,7 @@
 	return err
 }
 
-// Wait returns when the process has ended, with its exit status as the error.
+// Wait waits for the end of the process or of the context. The error holds the exit status unless it is 0.
 func (pr *Process) Wait(ctx context.Context) error {
 	select {
 	case err := <-pr.ended:
@@ -271,7 +272,7 @@
 		_ = pr.Wait(ctx)
 		cancel()
 	}
-	if fl.keys != "" {
-		_ = os.RemoveAll(fl.keys)
+	if fl.keyDir != "" {
+		_ = os.RemoveAll(fl.keyDir)
 	}
 }
--- a/internal/proof/balancer.go
+++ b/internal/proof/balancer.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// probePeriod is how often the balancer looks at each instance's readiness.
+	// probePeriod is the pause between two readiness probes of an instance.
 	probePeriod = 50 * time.Millisecond
-	// probeTime is how long it waits for the answer.
-	probeTime = 250 * time.Millisecond
+	// probeTimeout is the timeout of a readiness probe and of a status request.
+	probeTimeout = 250 * time.Millisecond
 )
 
-// member is one entry instance as the balancer sees it.
+// member is one entry instance behind the balancer.
 type member struct {
-	// killed tells that the run ended the process without notice.
+	// killed reports whether the run killed the process.
 	killed  atomic.Bool
 	name    string
 	process *fleet.Process
-	// ready follows the instance's own word.
+	// ready is the result of the last readiness probe.
 	ready bool
-	// brokenAt is when the run killed or paused it; what it was at work on then may be cut.
-	brokenAt time.Time
-	// mendedAt is when a paused one went on.
-	mendedAt time.Time
+	// faultedAt is when the run killed or paused the instance. Its requests of that time may be cut.
+	faultedAt time.Time
+	// resumedAt is when the run resumed the paused instance.
+	resumedAt time.Time
 }
 
-// balancer stands in for the platform's: it sends callers to the instances that say that they are ready.
+// balancer replaces the platform's load balancer: it sends callers to the instances that are ready.
 type balancer struct {
 	client *http.Client
 
@@ -42,7 +42,7 @@
 }
 
 func newBalancer() *balancer {
-	return &balancer{client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: probeTime}}
+	return &balancer{client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: probeTimeout}}
 }
 
 func (bl *balancer) add(name string, pr *fleet.Process) *member {
@@ -53,17 +53,17 @@
 	return mb
 }
 
-// remove takes an instance out that has ended.
-func (bl *balancer) remove(gone *member) {
+// remove removes an instance that has ended.
+func (bl *balancer) remove(removed *member) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
-	kept := bl.members[:0:0]
+	remaining := bl.members[:0:0]
 	for _, mb := range bl.members {
-		if mb != gone {
-			kept = append(kept, mb)
+		if mb != removed {
+			remaining = append(remaining, mb)
 		}
 	}
-	bl.members = kept
+	bl.members = remaining
 }
 
 // all returns the instances, ready or not.
@@ -73,7 +73,7 @@
 	return append([]*member(nil), bl.members...)
 }
 
-// pick draws a ready instance, or nil.
+// pick returns the ready instance that the random number selects, or nil if none is ready.
 func (bl *balancer) pick(draw uint64) *member {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
@@ -117,31 +117,32 @@
 	mb.ready = ready
 }
 
-// broken notes that the run kills or pauses the instance now, and mended that it goes on.
-func (bl *balancer) broken(mb *member) {
+// recordFault records that the run kills or pauses the instance now.
+func (bl *balancer) recordFault(mb *member) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
-	mb.brokenAt = time.Now()
+	mb.faultedAt = time.Now()
 }
 
-func (bl *balancer) mended(mb *member) {
+// recordResume records that the run resumes the instance now.
+func (bl *balancer) recordResume(mb *member) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
-	mb.mendedAt = time.Now()
+	mb.resumedAt = time.Now()
 }
 
-// excuses tells whether the run broke the instance between two times, or left it broken then.
-func (bl *balancer) excuses(mb *member, from, to time.Time) bool {
+// faultedDuring reports whether the instance was dead or paused by an injected fault at any time between from and to.
+func (bl *balancer) faultedDuring(mb *member, from, to time.Time) bool {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
-	if mb.brokenAt.IsZero() || mb.brokenAt.After(to) {
+	if mb.faultedAt.IsZero() || mb.faultedAt.After(to) {
 		return false
 	}
-	return mb.mendedAt.IsZero() || mb.mendedAt.After(from)
+	return mb.resumedAt.IsZero() || mb.resumedAt.After(from)
 }
 
-// any draws an instance, ready or not.
-func (bl *balancer) any(random *rand.Rand) *member {
+// randomMember returns a random instance, ready or not.
+func (bl *balancer) randomMember(random *rand.Rand) *member {
 	all := bl.all()
 	return all[random.IntN(len(all))]
 }
--- a/internal/proof/callers.go
+++ b/internal/proof/callers.go
@@ -15,52 +15,53 @@
 	"dandelionsail.example/dandelionsail/internal/load"
 )
 
-// kind is what a caller asks for.
+// kind is the kind of a caller's request.
 type kind string
 
 const (
-	// kindShort and kindLong are streamed completions.
+	// kindShort is a streamed completion of a prompt of about 100 to 2000 tokens.
 	kindShort kind = "Short"
-	kindLong  kind = "Long"
-	// kindKeyed is a board update with an idempotency key, sent again until its outcome is clear.
+	// kindLong is a streamed completion of a prompt of longTokens.
+	kindLong kind = "Long"
+	// kindKeyed is a board update with an idempotency key, which is sent again until it succeeds, at most maxRetries times.
 	kindKeyed kind = "Keyed"
-	// kindOnce is a board update without a key, sent once.
+	// kindOnce is a board update without an idempotency key, which is sent once.
 	kindOnce kind = "Once"
 )
 
 const (
-	// longTokens is above what one step of an engine prefills, by far.
+	// longTokens is the length of a long prompt. It is far above the number of tokens that an engine prefills in one step.
 	longTokens = 30_000
-	// resendPause is a caller's wait before it sends again.
-	resendPause = 300 * time.Millisecond
-	// resends bounds them.
-	resends = 20
-	// patience is how long beyond the deadline a caller waits before it gives the connection up.
-	patience = 5 * time.Second
+	// retryDelay is how long a caller waits before it sends an update again.
+	retryDelay = 300 * time.Millisecond
+	// maxRetries is the maximum number of times that an update is sent again.
+	maxRetries = 20
+	// clientGrace is how long after the deadline a caller closes its connection.
+	clientGrace = 5 * time.Second
 )
 
-// call is one request of a caller, with every time it was sent.
+// call is one request of a caller with all its attempts.
 type call struct {
 	kind kind
-	// digest is the service stand-in's of the body.
-	digest uint32
-	sends  []send
+	// digest is the digest of the body, as the service stand-in computes it; 0 for completions.
+	digest   uint32
+	attempts []attempt
 }
 
-// send is one time that a call was sent.
-type send struct {
+// attempt is the result of sending a call once.
+type attempt struct {
 	load.Result
 	at     time.Time
 	member *member
 }
 
-func (cl *call) last() send {
-	return cl.sends[len(cl.sends)-1]
+func (cl *call) last() attempt {
+	return cl.attempts[len(cl.attempts)-1]
 }
 
-// callers send requests at the run's rate, whatever becomes of the earlier ones.
+// callers generates open-loop load: it sends requests at the run's rate without waiting for earlier ones to end.
 type callers struct {
-	st     *site
+	st     *setup
 	opts   Options
 	client *http.Client
 	random *rand.Rand
@@ -69,15 +70,15 @@
 	calls []*call
 }
 
-func newCallers(st *site, opts Options) *callers {
+func newCallers(st *setup, opts Options) *callers {
 	return &callers{
 		st: st, opts: opts,
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: deadline + patience},
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: deadline + clientGrace},
 		random: rand.New(rand.NewPCG(opts.Seed, 1)),
 	}
 }
 
-// run sends until the context ends, and waits for the last answers.
+// run sends requests until the context ends, and then waits for those still open.
 func (cs *callers) run(ctx context.Context) error {
 	defer cs.client.CloseIdleConnections()
 	var group sync.WaitGroup
@@ -88,16 +89,16 @@
 		if !delay.For(ctx, time.Until(due)) {
 			return nil
 		}
-		knd, draw := cs.draw(), cs.random.Uint64()
+		knd, draw := cs.drawKind(), cs.random.Uint64()
 		group.Go(func() {
-			// What was sent is waited for, also after the end of the load.
+			// Requests that are open at the end of the load are not cancelled.
 			cs.send(context.WithoutCancel(ctx), knd, number, draw)
 		})
 	}
 }
 
-// draw takes the kind of the next request.
-func (cs *callers) draw() kind {
+// drawKind draws the kind of the next request.
+func (cs *callers) drawKind() kind {
 	switch part := cs.random.Float64(); {
 	case part < 0.7:
 		return kindShort
@@ -110,24 +111,24 @@
 	}
 }
 
-// send makes one request to its end and logs it.
+// send makes one request, with its retries, and records it.
 func (cs *callers) send(ctx context.Context, knd kind, number int, draw uint64) {
 	cl := &call{kind: knd}
 	switch knd {
 	case kindShort:
-		cs.complete(ctx, cl, load.Prompt(int64(100+draw%1900), draw), int64(10+draw%30), draw)
+		cs.sendCompletion(ctx, cl, load.Prompt(int64(100+draw%1900), draw), int64(10+draw%30), draw)
 	case kindLong:
-		cs.complete(ctx, cl, load.Prompt(longTokens, draw), 20, draw)
+		cs.sendCompletion(ctx, cl, load.Prompt(longTokens, draw), 20, draw)
 	case kindKeyed:
-		cs.update(ctx, cl, fmt.Sprintf("%d-%d", cs.opts.Seed, number), number, resends, draw)
+		cs.sendUpdate(ctx, cl, fmt.Sprintf("%d-%d", cs.opts.Seed, number), number, maxRetries, draw)
 	case kindOnce:
-		cs.update(ctx, cl, "", number, 0, draw)
+		cs.sendUpdate(ctx, cl, "", number, 0, draw)
 	}
-	cs.log(cl)
+	cs.record(cl)
 }
 
-func (cs *callers) log(cl *call) {
-	if len(cl.sends) == 0 {
+func (cs *callers) record(cl *call) {
+	if len(cl.attempts) == 0 {
 		return
 	}
 	cs.mu.Lock()
@@ -135,8 +136,8 @@
 	cs.calls = append(cs.calls, cl)
 }
 
-// complete sends a completion once.
-func (cs *callers) complete(ctx context.Context, cl *call, prompt string, answer int64, draw uint64) {
+// sendCompletion sends a completion once.
+func (cs *callers) sendCompletion(ctx context.Context, cl *call, prompt string, answer int64, draw uint64) {
 	mb := cs.st.balancer.pick(draw)
 	if mb == nil {
 		return
@@ -144,50 +145,50 @@
 	caller := &load.Caller{Address: mb.process.Address, Token: callerToken, HTTP: cs.client}
 	at := time.Now()
 	res := caller.Complete(ctx, "lyric", prompt, answer)
-	cl.sends = append(cl.sends, send{Result: res, at: at, member: mb})
+	cl.attempts = append(cl.attempts, attempt{Result: res, at: at, member: mb})
 }
 
-// update sends a board update, and again under the same key while its outcome is not clear.
-func (cs *callers) update(ctx context.Context, cl *call, key string, number, again int, draw uint64) {
+// sendUpdate sends a board update until it succeeds, and retries it at most the given number of times under the same key.
+func (cs *callers) sendUpdate(ctx context.Context, cl *call, key string, number, retries int, draw uint64) {
 	raw := fmt.Appendf(nil, `{"Hymn":%d,"Seed":%d}`, number, cs.opts.Seed)
 	hash := fnv.New32a()
 	_, _ = hash.Write(raw)
 	cl.digest = hash.Sum32()
-	for try := range uint64(again) + 1 {
+	for try := range uint64(retries) + 1 {
 		mb := cs.st.balancer.pick(draw + try)
 		if mb != nil {
-			cl.sends = append(cl.sends, cs.updateOnce(ctx, mb, key, raw))
+			cl.attempts = append(cl.attempts, cs.sendUpdateOnce(ctx, mb, key, raw))
 			if cl.last().Outcome == load.OutcomeWhole {
 				return
 			}
 		}
-		delay.For(ctx, resendPause)
+		delay.For(ctx, retryDelay)
 	}
 }
 
-func (cs *callers) updateOnce(ctx context.Context, mb *member, key string, raw []byte) send {
+func (cs *callers) sendUpdateOnce(ctx context.Context, mb *member, key string, raw []byte) attempt {
 	header := http.Header{}
 	if key != "" {
 		header.Set("Idempotency-Key", key)
 	}
 	caller := &load.Caller{Address: mb.process.Address, Token: callerToken, HTTP: cs.client}
-	sn := send{at: time.Now(), member: mb}
+	att := attempt{at: time.Now(), member: mb}
 	resp, err := caller.Do(ctx, http.MethodPost, "/board/next", raw, header)
 	if err != nil {
-		sn.Result = load.Result{Outcome: load.OutcomeBroken, Detail: err.Error(), Total: time.Since(sn.at)}
-		return sn
+		att.Result = load.Result{Outcome: load.OutcomeBroken, Detail: err.Error(), Total: time.Since(att.at)}
+		return att
 	}
 	defer func() { _ = resp.Body.Close() }()
 	detail, err := io.ReadAll(resp.Body)
-	sn.Result = load.Result{
+	att.Result = load.Result{
 		Outcome: load.OutcomeRefused, Status: resp.StatusCode, Ran: resp.Header.Get(entry.HeaderRan),
-		Total: time.Since(sn.at), Detail: string(detail),
+		Total: time.Since(att.at), Detail: string(detail),
 	}
 	switch {
 	case err != nil:
-		sn.Outcome = load.OutcomeBroken
+		att.Outcome = load.OutcomeBroken
 	case resp.StatusCode == http.StatusOK:
-		sn.Outcome = load.OutcomeWhole
+		att.Outcome = load.OutcomeWhole
 	}
-	return sn
+	return att
 }
--- a/internal/proof/check.go
+++ b/internal/proof/check.go
@@ -14,23 +14,25 @@
 )
 
 const (
-	// late is how far beyond the deadline an end may be seen on a busy machine.
-	late = 2 * time.Second
-	// recoverySpan and recoveryShare define a bad half second.
-	recoverySpan  = 500 * time.Millisecond
-	recoveryShare = 0.05
-	// slowFactor is how much slower than before a first token counts as not recovered.
+	// deadlineTolerance is how long after the deadline a request may end, since a busy machine notices the end late.
+	deadlineTolerance = 2 * time.Second
+	// recoveryWindow is the length of the windows after the faults that are each checked for recovery.
+	recoveryWindow = 500 * time.Millisecond
+	// maxBadShare is the share of a window's short prompts that may be slow or not answered. With more, the window counts as
+	// not recovered.
+	maxBadShare = 0.05
+	// slowFactor times the 95th percentile from before the faults is the time to first token above which an answer is slow.
 	slowFactor = 3
-	// leastSlow keeps a busy machine's hiccups from counting.
-	leastSlow = 50 * time.Millisecond
-	// maxShown bounds the violations of one kind that a report spells out.
+	// minSlow is the minimum time to first token of a slow answer, so that short stalls of a busy machine do not count.
+	minSlow = 50 * time.Millisecond
+	// maxShown is the maximum number of violations of one kind, and of refusals, that a report lists.
 	maxShown = 5
-	// poisonDeaths is how many engines may die of one content.
-	poisonDeaths = 2
+	// maxPoisonCrashes is the maximum number of engines that one request content may crash before it is quarantined.
+	maxPoisonCrashes = 2
 )
 
-// judge checks everything that must always hold.
-func (st *site) judge(ctx context.Context, opts Options, calls []*call) (*Report, error) {
+// buildReport checks the invariants and returns the report of the run.
+func (st *setup) buildReport(ctx context.Context, opts Options, calls []*call) (*Report, error) {
 	rp := &Report{Faults: opts.Faults, Seed: opts.Seed, Requests: len(calls), Outcomes: map[string]int{}, Notes: st.notes}
 	for _, cl := range calls {
 		last := cl.last()
@@ -42,85 +44,86 @@
 	}
 	rp.measure(st, calls)
 	ck := &checker{st: st, counts: map[string]int{}}
-	runs, err := st.runs(ctx)
+	runs, err := st.runCounts(ctx)
 	if err != nil {
 		return nil, err
 	}
 	for _, cl := range calls {
-		ck.answers(cl)
+		ck.checkResponses(cl)
 		if cl.digest != 0 {
-			ck.runs(cl, runs[cl.digest])
+			ck.checkRuns(cl, runs[cl.digest])
 		}
 	}
-	if err := ck.memory(ctx); err != nil {
+	if err := ck.checkEngineMemory(ctx); err != nil {
 		return nil, err
 	}
-	ck.configuration(ctx)
-	if st.deaths > poisonDeaths {
-		ck.violated("poison killed too many engines", fmt.Sprint(st.deaths))
+	ck.checkVersions(ctx)
+	if st.crashes > maxPoisonCrashes {
+		ck.addViolation("poison killed too many engines", fmt.Sprint(st.crashes))
 	}
-	rp.Violations = ck.found
+	rp.Violations = ck.violations
 	return rp, nil
 }
 
-// checker collects violations.
+// checker checks the invariants and collects violations.
 type checker struct {
-	st     *site
-	found  []string
-	counts map[string]int
+	st         *setup
+	violations []string
+	counts     map[string]int
 }
 
-func (ck *checker) violated(what, detail string) {
+func (ck *checker) addViolation(what, detail string) {
 	ck.counts[what]++
 	if ck.counts[what] <= maxShown {
-		ck.found = append(ck.found, what+": "+detail)
+		ck.violations = append(ck.violations, what+": "+detail)
 	}
 }
 
-// answers checks what the caller saw of each time it sent the request.
-func (ck *checker) answers(cl *call) {
-	for _, sn := range cl.sends {
-		end := sn.at.Add(sn.Total)
-		excused := ck.st.balancer.excuses(sn.member, sn.at, end)
-		detail := fmt.Sprintf("%s at %s after %s: %s %s", cl.kind, sn.member.name, sn.Total.Round(time.Millisecond), sn.Outcome, sn.Detail)
+// checkResponses checks the outcome and the duration of each attempt. Cut or late attempts are allowed at an instance that
+// was killed or paused meanwhile.
+func (ck *checker) checkResponses(cl *call) {
+	for _, att := range cl.attempts {
+		end := att.at.Add(att.Total)
+		excused := ck.st.balancer.faultedDuring(att.member, att.at, end)
+		detail := fmt.Sprintf("%s at %s after %s: %s %s", cl.kind, att.member.name, att.Total.Round(time.Millisecond), att.Outcome, att.Detail)
 		switch {
-		case sn.Outcome == load.OutcomeWrong:
-			ck.violated("wrong answer", detail)
-		case sn.Outcome == load.OutcomeShort:
-			ck.violated("short answer", detail)
-		case (sn.Outcome == load.OutcomeCut || sn.Outcome == load.OutcomeBroken) && !excused:
-			ck.violated("request cut", detail)
+		case att.Outcome == load.OutcomeWrong:
+			ck.addViolation("wrong answer", detail)
+		case att.Outcome == load.OutcomeShort:
+			ck.addViolation("short answer", detail)
+		case (att.Outcome == load.OutcomeCut || att.Outcome == load.OutcomeBroken) && !excused:
+			ck.addViolation("request cut", detail)
 		}
-		if sn.Total > deadline+late && !excused {
-			ck.violated("request past its time", detail)
+		if att.Total > deadline+deadlineTolerance && !excused {
+			ck.addViolation("request past its time", detail)
 		}
 	}
 }
 
-// runs checks what the caller was told of an update against how often the service ran it.
-func (ck *checker) runs(cl *call, ran int) {
-	detail := fmt.Sprintf("%s %08x ran %d times, sent %d times", cl.kind, cl.digest, ran, len(cl.sends))
+// checkRuns compares the answers to an update with how often the services ran it.
+func (ck *checker) checkRuns(cl *call, ran int) {
+	detail := fmt.Sprintf("%s %08x ran %d times, sent %d times", cl.kind, cl.digest, ran, len(cl.attempts))
 	if ran > 1 {
-		ck.violated("double run", detail)
+		ck.addViolation("double run", detail)
 	}
-	all := true
+	allNotRun := true
 	whole := false
-	for _, sn := range cl.sends {
-		all = all && sn.Outcome == load.OutcomeRefused && sn.Ran == "NotRun"
-		whole = whole || sn.Outcome == load.OutcomeWhole
+	for _, att := range cl.attempts {
+		allNotRun = allNotRun && att.Outcome == load.OutcomeRefused && att.Ran == "NotRun"
+		whole = whole || att.Outcome == load.OutcomeWhole
 	}
-	if all && ran > 0 {
-		ck.violated("false not run", detail)
+	if allNotRun && ran > 0 {
+		ck.addViolation("false not run", detail)
 	}
 	if whole && ran == 0 {
-		ck.violated("answered without a run", detail)
+		ck.addViolation("answered without a run", detail)
 	}
 }
 
-// runs counts the updates that the services ran, by digest.
-func (st *site) runs(ctx context.Context) (map[uint32]int, error) {
+// runCounts returns how often the services ran each update, by the digest of its body.
+func (st *setup) runCounts(ctx context.Context) (map[uint32]int, error) {
 	counts := map[uint32]int{}
-	for _, up := range st.of("board") {
+	for _, up := range st.replicas("board") {
 		var runs []stand.Run
 		if err := get(ctx, up.process.Address, stand.PathRuns, &runs); err != nil {
 			return nil, err
@@ -132,10 +135,10 @@
 	return counts, nil
 }
 
-// memory checks that every engine's memory is free again soon after the end of the load.
-func (ck *checker) memory(ctx context.Context) error {
+// checkEngineMemory checks that the memory of every engine is free within settleTime after the end of the load.
+func (ck *checker) checkEngineMemory(ctx context.Context) error {
 	until := time.Now().Add(settleTime)
-	for _, up := range ck.st.of("lyric") {
+	for _, up := range ck.st.replicas("lyric") {
 		for {
 			var state stand.State
 			if err := get(ctx, up.process.Address, stand.PathState, &state); err != nil {
@@ -145,7 +148,7 @@
 				break
 			}
 			if time.Now().After(until) {
-				ck.violated("engine memory left", fmt.Sprintf("%s holds %d tokens for %v", up.name, state.UsedTokens, state.Requests))
+				ck.addViolation("engine memory left", fmt.Sprintf("%s holds %d tokens for %v", up.name, state.UsedTokens, state.Requests))
 				break
 			}
 			if !delay.For(ctx, probePeriod) {
@@ -156,16 +159,17 @@
 	return nil
 }
 
-// configuration checks that no version went back and that all that was accepted is in force everywhere.
-func (ck *checker) configuration(ctx context.Context) {
+// checkVersions checks that no instance went back to an older configuration, and that the latest accepted version is in
+// force on all instances.
+func (ck *checker) checkVersions(ctx context.Context) {
 	vs := ck.st.versions
-	if vs.back > 0 {
-		ck.violated("version went back", fmt.Sprint(vs.back, " times"))
+	if vs.regressions > 0 {
+		ck.addViolation("version went back", fmt.Sprint(vs.regressions, " times"))
 	}
 	for _, mb := range ck.st.balancer.all() {
 		version, ok := vs.version(ctx, mb)
-		if !ok || version < ck.st.landed {
-			ck.violated("accepted version not in force", fmt.Sprintf("%s has %d of %d", mb.name, version, ck.st.landed))
+		if !ok || version < ck.st.acceptedVersion {
+			ck.addViolation("accepted version not in force", fmt.Sprintf("%s has %d of %d", mb.name, version, ck.st.acceptedVersion))
 		}
 	}
 }
@@ -183,29 +187,29 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// measure takes the times of short prompts in the three parts of the run, and the recovery.
-func (rp *Report) measure(st *site, calls []*call) {
+// measure computes the times to first token of short prompts before, during and after the faults, and the recovery time.
+func (rp *Report) measure(st *setup, calls []*call) {
 	var before, during, after []time.Duration
 	for _, cl := range calls {
-		sn := cl.sends[0]
-		if cl.kind != kindShort || sn.Outcome != load.OutcomeWhole {
+		att := cl.attempts[0]
+		if cl.kind != kindShort || att.Outcome != load.OutcomeWhole {
 			continue
 		}
 		switch {
-		case sn.at.Before(st.injectedAt):
-			before = append(before, sn.FirstToken)
-		case sn.at.Before(st.undoneAt):
-			during = append(during, sn.FirstToken)
+		case att.at.Before(st.injectedAt):
+			before = append(before, att.FirstToken)
+		case att.at.Before(st.undoneAt):
+			during = append(during, att.FirstToken)
 		default:
-			after = append(after, sn.FirstToken)
+			after = append(after, att.FirstToken)
 		}
 	}
-	rp.ShortBefore, rp.ShortDuring, rp.ShortAfter = high(before), high(during), high(after)
-	rp.Recovery = recovery(st.undoneAt, max(leastSlow, slowFactor*rp.ShortBefore), calls)
+	rp.ShortBefore, rp.ShortDuring, rp.ShortAfter = percentile95(before), percentile95(during), percentile95(after)
+	rp.Recovery = recoveryTime(st.undoneAt, max(minSlow, slowFactor*rp.ShortBefore), calls)
 }
 
-// high returns the 95th percentile.
-func high(times []time.Duration) time.Duration {
+// percentile95 returns the 95th percentile, or 0 without times. It sorts its argument.
+func percentile95(times []time.Duration) time.Duration {
 	if len(times) == 0 {
 		return 0
 	}
@@ -213,28 +217,28 @@
 	return times[len(times)*95/100]
 }
 
-// recovery returns the end of the last bad span after the faults were undone.
-func recovery(undone time.Time, slow time.Duration, calls []*call) time.Duration {
+// recoveryTime returns the time from the undoing of the faults to the end of the last window that had not recovered.
+func recoveryTime(undone time.Time, slow time.Duration, calls []*call) time.Duration {
 	type span struct{ bad, all int }
 	spans := map[int]span{}
 	last := -1
 	for _, cl := range calls {
-		sn := cl.sends[0]
-		if cl.kind != kindShort || sn.at.Before(undone) {
+		att := cl.attempts[0]
+		if cl.kind != kindShort || att.at.Before(undone) {
 			continue
 		}
-		number := int(sn.at.Sub(undone) / recoverySpan)
+		number := int(att.at.Sub(undone) / recoveryWindow)
 		sp := spans[number]
 		sp.all++
-		if sn.Outcome != load.OutcomeWhole || sn.FirstToken > slow {
+		if att.Outcome != load.OutcomeWhole || att.FirstToken > slow {
 			sp.bad++
 		}
 		spans[number] = sp
 		last = max(last, number)
 	}
 	for ; last >= 0; last-- {
-		if sp := spans[last]; float64(sp.bad) > recoveryShare*float64(sp.all) {
-			return time.Duration(last+1) * recoverySpan
+		if sp := spans[last]; float64(sp.bad) > maxBadShare*float64(sp.all) {
+			return time.Duration(last+1) * recoveryWindow
 		}
 	}
 	return 0
--- a/internal/proof/faults_test.go
+++ b/internal/proof/faults_test.go
@@ -13,13 +13,14 @@
 	"dandelionsail.example/dandelionsail/internal/proof"
 )
 
-// proveVariable names the faults to inject besides the few of every run: names joined by +, runs joined by commas.
+// proveVariable is the environment variable that adds runs of TestFaults. It holds the names of faults: those to inject
+// together are joined by +, and the runs are separated by commas.
 const proveVariable = "DANDELIONSAIL_PROVE"
 
 func TestFaults(t *testing.T) {
-	// Callers keep sending prompts and board updates while a fleet of processes is broken or replaced under them.
-	// They see whole answers or clear refusals; the service ran no update twice and none of which it was said that it
-	// did not; what was planned cut nobody; and the engines' memory is free afterwards.
+	// Faults are injected into a fleet of processes, or its instances are replaced, while callers send prompts and board
+	// updates. Guards against wrong or short answers, updates that run twice or after NotRun was reported, requests that a
+	// planned replacement cuts, and engine memory that is not freed afterwards.
 	runs := map[string][]string{
 		"poison":             {"poison"},
 		"engine and rolling": {"engine-killed", "rolling-replacement"},
@@ -35,7 +36,7 @@
 			logs := &processLogs{}
 			t.Cleanup(func() {
 				if t.Failed() {
-					t.Logf("the processes' last lines:\n%s", logs.tail())
+					t.Logf("last log lines of the processes:\n%s", logs.tail())
 				}
 			})
 			rp, err := proof.Run(t.Context(), proof.Options{
@@ -48,10 +49,10 @@
 	}
 }
 
-// logsKept is how much of the processes' lines is kept for a run that fails.
+// logsKept is the number of bytes of the processes' logs that are kept to be printed if a run fails.
 const logsKept = 256 << 10
 
-// processLogs keeps the last lines that the processes of a run wrote.
+// processLogs keeps the last bytes that the processes of a run logged.
 type processLogs struct {
 	mu   sync.Mutex
 	last []byte
--- a/internal/proof/inject.go
+++ b/internal/proof/inject.go
@@ -24,13 +24,13 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// faultFunc does a fault until the context ends and undoes it before it returns.
-type faultFunc func(holding context.Context, st *site) error
+// faultFunc injects a fault, holds it until the context ends, and undoes it before it returns.
+type faultFunc func(holding context.Context, st *setup) error
 
-// slowStore is the delay of a slow store's calls, each way.
+// slowStore is the delay, in each direction, between the instances and a slow store.
 const slowStore = 500 * time.Millisecond
 
-// faults are all that a run can inject, by name.
+// faults holds all faults that a run can inject, by name.
 var faults = map[string]faultFunc{
 	"engine-killed":       engineKilled,
 	"instance-killed":     instanceKilled,
@@ -55,17 +55,17 @@
 	for _, name := range names {
 		inject, ok := faults[name]
 		if !ok {
-			return nil, fmt.Errorf("proof: no fault %q; give some of %s", name, strings.Join(Names(), ", "))
+			return nil, fmt.Errorf("proof: unknown fault %q; give one or more of %s", name, strings.Join(Names(), ", "))
 		}
 		found = append(found, inject)
 	}
 	return found, nil
 }
 
-// engineKilled kills an engine in mid-work and starts it again at the end.
-func engineKilled(holding context.Context, st *site) error {
-	up := st.of("lyric")[0]
-	up.killed.Store(up.answers(holding))
+// engineKilled kills an engine under load and restarts it at the end.
+func engineKilled(holding context.Context, st *setup) error {
+	up := st.replicas("lyric")[0]
+	up.killed.Store(up.acceptsConnections(holding))
 	killed := st.processOf(up)
 	if err := killed.Kill(); err != nil {
 		return err
@@ -74,12 +74,12 @@
 	return st.restart(up, killed)
 }
 
-// endTime is how long a process that was killed or broke off its connections may take to end on a busy machine.
-const endTime = 30 * time.Second
+// exitTimeout is how long a process that was killed or has closed its connections may take to exit on a busy machine.
+const exitTimeout = 30 * time.Second
 
-// answers tells that the replica takes connections. One whose process is about to end does not any more, while the end of
-// the process itself may show much later.
-func (up *upstream) answers(ctx context.Context) bool {
+// acceptsConnections reports whether the replica accepts connections. A process that is about to exit accepts none, while
+// its exit may be seen much later.
+func (up *upstream) acceptsConnections(ctx context.Context) bool {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", up.process.Address)
 	if err != nil {
 		return false
@@ -88,34 +88,34 @@
 	return true
 }
 
-// processOf returns the process that runs the replica now.
-func (st *site) processOf(up *upstream) *fleet.Process {
+// processOf returns the current process of the replica.
+func (st *setup) processOf(up *upstream) *fleet.Process {
 	st.restarting.Lock()
 	defer st.restarting.Unlock()
 	return up.process
 }
 
-// restart runs a replica at its old address once the process has ended that it had. Two faults may end the same process;
-// the first to come here restarts the replica, and the other finds another process.
-func (st *site) restart(up *upstream, ended *fleet.Process) error {
+// restart waits for the exit of the replica's process ended and starts a new one at the same address. If two faults ended
+// the same process, the first call restarts the replica, and the second finds a new process and does nothing.
+func (st *setup) restart(up *upstream, ended *fleet.Process) error {
 	st.restarting.Lock()
 	defer st.restarting.Unlock()
 	if up.process != ended {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), endTime)
+	ctx, cancel := context.WithTimeout(context.Background(), exitTimeout)
 	defer cancel()
-	// A killed process ends with an error, which is expected.
+	// Wait returns an error for a killed process, which is expected.
 	if err := ended.Wait(ctx); errors.Is(err, context.DeadlineExceeded) {
-		return fmt.Errorf("proof: the process of %s did not end in %v; look at what holds it", up.name, endTime)
+		return fmt.Errorf("proof: process of %s did not exit within %v; check what blocks it", up.name, exitTimeout)
 	}
 	return st.startProcess(up, ended.Address)
 }
 
-// instanceKilled kills an instance; another one takes its place at the end.
-func instanceKilled(holding context.Context, st *site) error {
+// instanceKilled kills an instance and replaces it by a new one at the end.
+func instanceKilled(holding context.Context, st *setup) error {
 	mb := st.balancer.all()[0]
-	st.balancer.broken(mb)
+	st.balancer.recordFault(mb)
 	mb.killed.Store(true)
 	if err := mb.process.Kill(); err != nil {
 		return err
@@ -129,66 +129,66 @@
 	return err
 }
 
-// instancePaused freezes an instance, longer than any lease lasts if the hold is long enough, and lets it go on.
-func instancePaused(holding context.Context, st *site) error {
+// instancePaused pauses an instance and resumes it. If the hold is long enough, all leases of the instance expire meanwhile.
+func instancePaused(holding context.Context, st *setup) error {
 	all := st.balancer.all()
 	mb := all[len(all)-1]
-	st.balancer.broken(mb)
+	st.balancer.recordFault(mb)
 	if err := mb.process.Pause(); err != nil {
 		return err
 	}
 	<-holding.Done()
-	defer st.balancer.mended(mb)
+	defer st.balancer.recordResume(mb)
 	return mb.process.Resume()
 }
 
-// storeFault puts faults between the instances and the store; with cut its open connections end at once.
+// storeFault injects faults between the instances and the store. If cut is set, it also closes the open connections.
 func storeFault(fs fault.Faults, cut bool) faultFunc {
-	return func(holding context.Context, st *site) error {
-		if err := st.store.Set(fs); err != nil {
+	return func(holding context.Context, st *setup) error {
+		if err := st.storeProxy.Set(fs); err != nil {
 			return err
 		}
 		if cut {
-			st.store.Cut()
+			st.storeProxy.Cut()
 		}
 		<-holding.Done()
-		return st.store.Set(fault.Faults{})
+		return st.storeProxy.Set(fault.Faults{})
 	}
 }
 
-// losePeriod is how long the store's answers are lost, and then not, in turn.
-const losePeriod = 150 * time.Millisecond
+// lossPeriod is the length of the alternating periods in which the store's answers are lost and not lost.
+const lossPeriod = 150 * time.Millisecond
 
-// answersLost loses the answers of calls that took effect, now and then.
-func answersLost(holding context.Context, st *site) error {
+// answersLost loses the answers to store calls that took effect, in every other lossPeriod.
+func answersLost(holding context.Context, st *setup) error {
 	for lose := true; ; lose = !lose {
-		if err := st.store.Set(fault.Faults{LoseAnswer: lose}); err != nil {
+		if err := st.storeProxy.Set(fault.Faults{LoseAnswer: lose}); err != nil {
 			return err
 		}
-		if !delay.For(holding, losePeriod) {
-			return st.store.Set(fault.Faults{})
+		if !delay.For(holding, lossPeriod) {
+			return st.storeProxy.Set(fault.Faults{})
 		}
 	}
 }
 
-// operatorsRacing lets two operators patch the same version again and again, past the faults of the store.
-func operatorsRacing(holding context.Context, st *site) error {
+// operatorsRacing lets two operators submit patches to the same version repeatedly, and retry them when the store fails.
+func operatorsRacing(holding context.Context, st *setup) error {
 	ended := make(chan int, 2)
 	for operator := range cap(ended) {
-		go func() { ended <- st.patch(holding, operator) }()
+		go func() { ended <- st.submitPatches(holding, operator) }()
 	}
-	one, two := <-ended, <-ended
-	st.note("operators: %d and %d patches landed", one, two)
+	a, b := <-ended, <-ended
+	st.addNote("operators: %d and %d patches accepted", a, b)
 	return nil
 }
 
-// patch submits patches until the context ends and returns how many landed. A patch without a clear answer is sent again
-// under its id, as operators are told to.
-func (st *site) patch(ctx context.Context, operator int) int {
-	client := store.New(st.store.Address)
+// submitPatches submits patches until the context ends and returns how many were accepted. A patch whose outcome is unknown
+// is submitted again under the same ID, as operators are told to do.
+func (st *setup) submitPatches(ctx context.Context, operator int) int {
+	client := store.New(st.storeProxy.Address)
 	defer client.Close()
 	log := conf.New(client)
-	landed := 0
+	accepted := 0
 	for number := 0; ctx.Err() == nil; number++ {
 		cfg, err := log.Load(ctx)
 		if err != nil {
@@ -200,20 +200,21 @@
 			ID: fmt.Sprintf("race-%d-%d", operator, number), Base: cfg.Version, Author: fmt.Sprint(operator),
 			At: time.Now(), Operations: []byte(limit),
 		}
-		if version, err := submitUntilClear(ctx, log, patch); err == nil {
-			landed++
-			st.accepted(version)
+		if version, err := submitUntilResolved(ctx, log, patch); err == nil {
+			accepted++
+			st.recordAccepted(version)
 		}
 		delay.For(ctx, patchPause)
 	}
-	return landed
+	return accepted
 }
 
-// patchPause is the time between two tries of an operator. It is far shorter than losePeriod, so that tries fall into
-// times with and without answers; at twice losePeriod each of them met the same half.
+// patchPause is the time between two attempts of an operator. It is far shorter than lossPeriod, so that attempts fall into
+// periods with and without lost answers; at twice lossPeriod, all attempts would fall into the same kind of period.
 const patchPause = 20 * time.Millisecond
 
-func submitUntilClear(ctx context.Context, log *conf.Log, patch conf.Patch) (int64, error) {
+// submitUntilResolved submits the patch again until it is accepted, rejected as stale, or the context ends.
+func submitUntilResolved(ctx context.Context, log *conf.Log, patch conf.Patch) (int64, error) {
 	for {
 		version, err := log.Submit(ctx, patch)
 		if err == nil || ctx.Err() != nil || errorx.IsOfType(err, conf.Stale) {
@@ -223,34 +224,34 @@
 	}
 }
 
-func (st *site) accepted(version int64) {
+func (st *setup) recordAccepted(version int64) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.landed = max(st.landed, version)
+	st.acceptedVersion = max(st.acceptedVersion, version)
 }
 
-// connectionsSilent makes all open connections to the upstreams silent, for good.
-func connectionsSilent(_ context.Context, st *site) error {
+// connectionsSilent makes all open connections to the upstreams silent for good, while new ones work.
+func connectionsSilent(_ context.Context, st *setup) error {
 	silenced := int64(0)
 	for _, up := range st.upstreams {
 		before := up.proxy.Counts().Silenced
 		up.proxy.Silence()
 		silenced += up.proxy.Counts().Silenced - before
 	}
-	st.note("silenced %d connections", silenced)
+	st.addNote("silenced %d connections", silenced)
 	return nil
 }
 
-// poison lets a caller send a request that crashes each engine that runs it, again and again, to any instance.
-func poison(holding context.Context, st *site) error {
+// poison lets a caller repeatedly send a request that crashes each engine that runs it, to random instances.
+func poison(holding context.Context, st *setup) error {
 	client := newCallers(st, Options{Seed: 1}).client
 	defer client.CloseIdleConnections()
 	random := rand.New(rand.NewPCG(1, 1))
 	refused := 0
 	for holding.Err() == nil {
-		mb := st.balancer.any(random)
+		mb := st.balancer.randomMember(random)
 		caller := &load.Caller{Address: mb.process.Address, Token: callerToken, HTTP: client}
-		// The last one is waited for too: an engine that it takes down later would not be restarted.
+		// Wait for the last request too: otherwise an engine that it crashes later would not be restarted.
 		waiting, cancel := context.WithTimeout(context.WithoutCancel(holding), settleTime)
 		res := caller.Complete(waiting, "lyric", stand.PoisonMarker+" "+load.Prompt(500, 1), 10)
 		cancel()
@@ -259,24 +260,24 @@
 		}
 		delay.For(holding, 100*time.Millisecond)
 	}
-	for _, up := range st.of("lyric") {
+	for _, up := range st.replicas("lyric") {
 		process := st.processOf(up)
-		if up.answers(context.Background()) {
+		if up.acceptsConnections(context.Background()) {
 			continue
 		}
 		if !up.killed.Load() {
-			st.deaths++
+			st.crashes++
 		}
 		if err := st.restart(up, process); err != nil {
 			return err
 		}
 	}
-	st.note("poison: %d engines died, %d resends refused as quarantined", st.deaths, refused)
+	st.addNote("poison: %d engines crashed, %d requests refused as quarantined", st.crashes, refused)
 	return nil
 }
 
-// domainAway cuts one failure domain's upstreams off: nothing passes, and no connection ends.
-func domainAway(holding context.Context, st *site) error {
+// domainAway partitions off the upstreams of one failure domain: no data passes, and no connection is closed.
+func domainAway(holding context.Context, st *setup) error {
 	away := domains[0]
 	for _, up := range st.upstreams {
 		if up.domain == away {
@@ -288,7 +289,7 @@
 	}
 	<-holding.Done()
 	for _, up := range st.upstreams {
-		// Connections that were opened meanwhile never come back either.
+		// Connections that were opened during the partition stay silent for good.
 		if err := up.proxy.Set(fault.Faults{}); err != nil {
 			return err
 		}
@@ -296,8 +297,8 @@
 	return nil
 }
 
-// rollingReplacement replaces every instance, one after another, however long it takes.
-func rollingReplacement(holding context.Context, st *site) error {
+// rollingReplacement replaces the instances one after another. It is not stopped at the end of the hold.
+func rollingReplacement(holding context.Context, st *setup) error {
 	ctx := context.WithoutCancel(holding)
 	old := st.balancer.all()
 	for _, mb := range old {
@@ -308,15 +309,16 @@
 			return err
 		}
 	}
-	st.note("replaced %d instances", len(old))
+	st.addNote("replaced %d instances", len(old))
 	return nil
 }
 
-// dumpTime is what a process that does not stop gets to write its stacks.
-const dumpTime = 2 * time.Second
+// dumpDelay is how long a process that did not stop in time has to write its stacks.
+const dumpDelay = 2 * time.Second
 
-// stopInstance stops an instance as the platform does: listed as leaving, terminated, and waited for.
-func (st *site) stopInstance(ctx context.Context, mb *member) error {
+// stopInstance stops an instance: it sends the termination signal, waits for the exit, and then removes the instance from
+// the platform's list.
+func (st *setup) stopInstance(ctx context.Context, mb *member) error {
 	if err := mb.process.Terminate(); err != nil {
 		return err
 	}
@@ -325,12 +327,12 @@
 	err := mb.process.Wait(limited)
 	st.balancer.remove(mb)
 	if limited.Err() != nil {
-		// What it waits for is in its stacks, which its log then holds.
+		// The stacks in the instance's log show what blocks the shutdown.
 		err = errors.Join(err, mb.process.Dump())
-		delay.For(ctx, dumpTime)
+		delay.For(ctx, dumpDelay)
 	}
 	if err != nil && !mb.killed.Load() {
-		return fmt.Errorf("instance %s did not stop well: %w", mb.name, err)
+		return fmt.Errorf("instance %s did not stop cleanly: %w", mb.name, err)
 	}
 	return plat.Remove(st.fleet.Platform.Address, mb.name)
 }
--- a/internal/proof/peers_test.go
+++ b/internal/proof/peers_test.go
@@ -10,9 +10,9 @@
 	"dandelionsail.example/dandelionsail/internal/fleet"
 )
 
-func TestInstancesSpeakToEachOther(t *testing.T) {
-	// Three instances are listed by the platform with their peer addresses. They start with keys of one authority, and
-	// a fourth without any; all become ready, since peers are no condition for serving.
+func TestInstancesStartWithAndWithoutPeerKeys(t *testing.T) {
+	// Three instances start with peer addresses and keys of one authority, and a fourth without keys. All must become ready,
+	// since an instance can serve without peers.
 	fl := &fleet.Fleet{}
 	t.Cleanup(fl.Close)
 	assert.NilError(t, fl.StartPlatform("--list-lag", "0s"))
--- a/internal/proof/permit_test.go
+++ b/internal/proof/permit_test.go
@@ -26,10 +26,10 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// longMemory is one engine's memory in these tests; the prompts have 2.5 times as many tokens.
+// longMemory is one engine's memory in tokens; the prompts of these tests are 2.5 times as long.
 const longMemory = 40_000
 
-// longFleet is a pool of engines with small memories and instances that share it.
+// longFleet is a pool of engines with little memory and the instances that share the pool.
 type longFleet struct {
 	*fleet.Fleet
 	t       testing.TB
@@ -79,8 +79,8 @@
 	assert.NilError(lf.t, conf.Seed(lf.t.Context(), lf.Platform.Address, &cfg))
 }
 
-// long sends a prompt of 2.5 engines' memory through the numbered instance.
-func (lf *longFleet) long(entry int, answer int64) chan load.Result {
+// sendLong sends a prompt of 2.5 times one engine's memory through the numbered instance.
+func (lf *longFleet) sendLong(entry int, answer int64) chan load.Result {
 	caller := &load.Caller{Address: lf.entries[entry].Address, Token: token, HTTP: http.DefaultClient}
 	ended := make(chan load.Result, 1)
 	go func() {
@@ -91,7 +91,7 @@
 	return ended
 }
 
-// state returns an engine's true state, and false if the engine is dead.
+// state returns the state of the engine stand-in, or false if the engine is dead.
 func (lf *longFleet) state(engine *fleet.Process) (stand.State, bool) {
 	var st stand.State
 	resp, err := http.Get("http://" + engine.Address + stand.PathState)
@@ -102,8 +102,8 @@
 	return st, json.NewDecoder(resp.Body).Decode(&st) == nil
 }
 
-// until waits until the engines' states in the order of the engines are as wanted.
-func (lf *longFleet) until(wanted func(states []stand.State) bool) {
+// waitForStates waits until wanted reports true for the states of the engines that are alive, in the order of the engines.
+func (lf *longFleet) waitForStates(wanted func(states []stand.State) bool) {
 	lf.t.Helper()
 	for {
 		var states []stand.State
@@ -116,13 +116,13 @@
 			return
 		}
 		if lf.t.Context().Err() != nil {
-			lf.t.Fatalf("did not come about: %+v", states)
+			lf.t.Fatalf("the engines did not reach the wanted state: %+v", states)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-func freed(states []stand.State) bool {
+func memoryFreed(states []stand.State) bool {
 	for _, st := range states {
 		if st.UsedTokens > 0 {
 			return false
@@ -132,16 +132,16 @@
 }
 
 func TestPromptOverSeveralEngines(t *testing.T) {
-	// A caller sends a prompt of 2.5 times one engine's memory, and gets its whole answer over three engines.
-	// Then one of the engines is killed while another such answer is on its way. The last engine cannot go on without
-	// the segment, the request asks for a permit again, and the rest comes from the engines left or a clear failure does.
-	// After each of them no engine holds anything.
+	// A prompt of 2.5 times one engine's memory is split over three engines, and the caller must get the whole answer. Then
+	// an engine with a segment is killed during another such answer. The last engine cannot continue without the segment, so
+	// the request needs a new permit. The caller must get the rest from the remaining engines, or a clear failure. After
+	// both requests all engine memory must be free.
 	lf := newLongFleet(t, 4, 2)
-	res := <-lf.long(0, 20)
+	res := <-lf.sendLong(0, 20)
 	assert.Equal(t, res.Outcome, load.OutcomeWhole, res.Detail)
-	lf.until(freed)
-	ended := lf.long(1, 300)
-	lf.until(func(states []stand.State) bool { return generating(states) })
+	lf.waitForStates(memoryFreed)
+	ended := lf.sendLong(1, 300)
+	lf.waitForStates(func(states []stand.State) bool { return generating(states) })
 	for _, engine := range lf.engines {
 		if st, _ := lf.state(engine); len(st.Exports) > 0 {
 			assert.NilError(t, engine.Kill())
@@ -151,11 +151,11 @@
 	res = <-ended
 	plain := res.Outcome == load.OutcomeWhole || res.Outcome == load.OutcomeFailed || res.Outcome == load.OutcomeRefused
 	assert.Assert(t, plain, "%s: %s", res.Outcome, res.Detail)
-	t.Logf("an engine killed in the middle: %s %s", res.Outcome, res.Detail)
-	lf.until(freed)
+	t.Logf("with an engine killed during the answer: %s %s", res.Outcome, res.Detail)
+	lf.waitForStates(memoryFreed)
 }
 
-// generating tells that two engines hold segments and a third has the request itself.
+// generating reports whether two engines hold segments and a third runs the request itself.
 func generating(states []stand.State) bool {
 	exports, running := 0, 0
 	for _, st := range states {
@@ -165,7 +165,7 @@
 	return exports == 2 && running == 1
 }
 
-// coordinator returns the number of the instance that coordinates the pool, and of one that does not.
+// coordinator returns the number of the instance that coordinates the pool and of the one that would replace it.
 func (lf *longFleet) coordinator() (coordinator, other int) {
 	var instances []event.Instance
 	for _, inst := range lf.entries {
@@ -178,61 +178,62 @@
 	return number(best[0].Name), number(best[1].Name)
 }
 
-func TestHolderKilledWithSeveralEngines(t *testing.T) {
-	// The instance that streams an answer over three engines is killed, and it coordinates the pool itself. Its caller's
-	// connection breaks. The segments on the two engines before the last have no end of their own; the instance that is
-	// next to coordinate was told of them, learns of the death by its probes, and has the engines free them.
+func TestSegmentsFreedAfterInstanceKilled(t *testing.T) {
+	// Guards against engine memory that is never freed. An instance is killed that coordinates the pool and streams an answer
+	// over three engines. Nothing ends the segments on the first two engines. The next coordinator received their permits,
+	// detects the death by its probes, and must have the engines free them.
 	lf := newLongFleet(t, 3, 3)
 	holder, _ := lf.coordinator()
-	ended := lf.long(holder, 2000)
-	lf.until(generating)
+	ended := lf.sendLong(holder, 2000)
+	lf.waitForStates(generating)
 	time.Sleep(2 * permit.RenewPeriod)
 	assert.NilError(t, lf.entries[holder].Kill())
 	killed := time.Now()
 	res := <-ended
 	assert.Assert(t, res.Outcome != load.OutcomeWhole)
-	lf.until(freed)
-	t.Logf("freed %s after the holder and coordinator was killed", time.Since(killed).Round(10*time.Millisecond))
+	lf.waitForStates(memoryFreed)
+	t.Logf("memory freed %s after the holder and coordinator was killed", time.Since(killed).Round(10*time.Millisecond))
 }
 
 func TestCoordinatorKilled(t *testing.T) {
 	// The pool's coordinator is killed while a prompt over three engines runs through another instance, and another such
-	// prompt arrives. The running one is not touched. The other one asks the dead coordinator in vain, then the next one,
-	// which hears first of what runs, and so it waits for that to end and is answered whole.
+	// prompt arrives. The running prompt must not be affected. The other one requests a permit from the dead coordinator and
+	// then from the next one. That one must first learn which permits are held, so that the prompt waits until the running
+	// one ends, and then gets a whole answer.
 	lf := newLongFleet(t, 3, 3)
 	coordinator, other := lf.coordinator()
-	alone := <-lf.long(other, 5)
+	alone := <-lf.sendLong(other, 5)
 	assert.Equal(t, alone.Outcome, load.OutcomeWhole, alone.Detail)
-	running := lf.long(other, 200)
-	lf.until(generating)
+	running := lf.sendLong(other, 200)
+	lf.waitForStates(generating)
 	assert.NilError(t, lf.entries[coordinator].Kill())
 	killed := time.Now()
-	next := lf.long(other, 5)
+	next := lf.sendLong(other, 5)
 	first := <-running
 	assert.Equal(t, first.Outcome, load.OutcomeWhole, first.Detail)
 	ended := time.Now()
 	second := <-next
 	assert.Equal(t, second.Outcome, load.OutcomeWhole, second.Detail)
-	t.Logf("first token: %s with the coordinator alive; after its death %s, the prompt ahead having ended at %s",
+	t.Logf("time to first token: %s with the coordinator alive, %s after its death; the running prompt ended %s after it",
 		alone.FirstToken.Round(time.Millisecond), second.FirstToken.Round(time.Millisecond), ended.Sub(killed).Round(time.Millisecond))
-	lf.until(freed)
+	lf.waitForStates(memoryFreed)
 }
 
-// BenchmarkTakeover gives the time to the first token of a prompt over three engines, sent right after the pool's
-// coordinator was killed, beside that of one sent before.
+// BenchmarkTakeover measures the time to first token of a prompt over three engines that is sent right after the pool's
+// coordinator was killed, and for comparison that of prompts sent before.
 func BenchmarkTakeover(b *testing.B) {
 	var before, after time.Duration
 	for b.Loop() {
 		lf := newLongFleet(b, 3, 3)
 		coordinator, other := lf.coordinator()
 		for range 2 {
-			alone := <-lf.long(other, 5)
+			alone := <-lf.sendLong(other, 5)
 			assert.Equal(b, alone.Outcome, load.OutcomeWhole, alone.Detail)
 			before = max(before, alone.FirstToken)
 			time.Sleep(permit.RenewPeriod)
 		}
 		assert.NilError(b, lf.entries[coordinator].Kill())
-		next := <-lf.long(other, 5)
+		next := <-lf.sendLong(other, 5)
 		assert.Equal(b, next.Outcome, load.OutcomeWhole, next.Detail)
 		after = max(after, next.FirstToken)
 		lf.Close()
@@ -241,7 +242,8 @@
 	b.ReportMetric(after.Seconds(), "s-after-worst")
 }
 
-// BenchmarkPeers gives what one instance without requests spends on its peers, as a function of the fleet's size.
+// BenchmarkPeers measures the bytes per second and the processor time per second that one idle instance spends on its
+// peers, by fleet size.
 func BenchmarkPeers(b *testing.B) {
 	for _, size := range []int{3, 10, 30} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -254,13 +256,13 @@
 				assert.NilError(b, err)
 				instances = append(instances, inst)
 			}
-			// Until every instance has probed every other, connections are still being opened.
+			// Instances open connections until each has probed every other one.
 			time.Sleep(time.Duration(size+3) * time.Second)
-			sent, received, busy := spent(b, instances)
+			sent, received, busy := resourceUsage(b, instances)
 			for b.Loop() {
 				time.Sleep(time.Second)
 			}
-			sentAfter, receivedAfter, busyAfter := spent(b, instances)
+			sentAfter, receivedAfter, busyAfter := resourceUsage(b, instances)
 			seconds := b.Elapsed().Seconds() * float64(size)
 			b.ReportMetric((sentAfter-sent)/seconds, "sentB/s")
 			b.ReportMetric((receivedAfter-received)/seconds, "receivedB/s")
@@ -278,11 +280,11 @@
 	return metricsAddresses[number]
 }
 
-// metricsAddresses holds where the instances of a benchmark show their metrics, by number.
+// metricsAddresses holds the metrics addresses of a benchmark's instances, by number.
 var metricsAddresses = map[int]string{}
 
-// spent adds up the bytes and the processor seconds of all instances.
-func spent(b *testing.B, instances []*fleet.Process) (sent, received, busy float64) {
+// resourceUsage returns the totals of all instances: the bytes sent to and received from peers, and the processor seconds.
+func resourceUsage(b *testing.B, instances []*fleet.Process) (sent, received, busy float64) {
 	b.Helper()
 	for i, inst := range instances {
 		resp, err := http.Get("http://" + metricsAddresses[i] + "/metrics")
@@ -297,13 +299,13 @@
 		fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 		user, _ := strconv.ParseFloat(fields[11], 64)
 		system, _ := strconv.ParseFloat(fields[12], 64)
-		busy += (user + system) / clockTicks
+		busy += (user + system) / clockTicksPerSecond
 	}
 	return sent, received, busy
 }
 
-// clockTicks is the unit of /proc's times, a part of a second.
-const clockTicks = 100
+// clockTicksPerSecond is the number of units per second of the times in /proc.
+const clockTicksPerSecond = 100
 
 func metric(raw []byte, name string) float64 {
 	for line := range strings.Lines(string(raw)) {
--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -37,9 +37,9 @@
 	assert.NilError(t, conf.Seed(t.Context(), fl.Platform.Address, &cfg))
 }
 
-func TestRequestThroughProcesses(t *testing.T) {
-	// A caller streams an answer through an entry instance from an engine, all of them processes of their own.
-	// The engine is killed in mid-stream, and the caller still gets the whole answer, from the other engine.
+func TestStreamSurvivesEngineKill(t *testing.T) {
+	// Callers stream answers from two engines through an entry instance, all separate processes. One engine is killed during
+	// the streams. Every caller must still get a whole answer, resumed on the other engine.
 	fl := &fleet.Fleet{}
 	t.Cleanup(fl.Close)
 	assert.NilError(t, fl.StartPlatform("--list-lag", "0s"))
--- a/internal/proof/quarantine_test.go
+++ b/internal/proof/quarantine_test.go
@@ -14,11 +14,10 @@
 	"dandelionsail.example/dandelionsail/internal/stand"
 )
 
-func TestNewInstanceKnowsTheQuarantine(t *testing.T) {
-	// A caller's request takes two engines down and is refused from then on. Its instance is replaced, and the caller
-	// sends the request again to the new one, which never saw an engine die.
-	// The new one learnt the quarantine from its peer before it was ready: the caller is refused, nothing runs, and the
-	// third engine lives.
+func TestNewInstanceLearnsQuarantineFromPeer(t *testing.T) {
+	// A request crashes two engines and is quarantined. Then the caller retries it through a new instance, which has seen no
+	// engine die. Unless that instance has fetched the quarantine from its peer before it became ready, it runs the request
+	// and the third engine crashes.
 	fl := &fleet.Fleet{}
 	t.Cleanup(fl.Close)
 	assert.NilError(t, fl.StartPlatform("--list-lag", "0s"))
@@ -55,10 +54,10 @@
 	assert.Equal(t, alive, 1)
 }
 
-func TestUnlistedInstanceHearsOfTheQuarantine(t *testing.T) {
-	// An instance starts and asks its peer, which knows of nothing yet, and whose list shows the new one late. Then a
-	// caller's request takes two engines down through the old instance, and is sent again to the new one.
-	// Told only those that its list shows, the new one would let the request take the third engine.
+func TestQuarantineReachesUnlistedInstance(t *testing.T) {
+	// A new instance fetches the quarantine from its peer while it is still empty, and the peer's list does not show the new
+	// instance yet. Then a request crashes two engines through the peer, and the caller retries it through the new instance.
+	// If the peer announced the quarantine only to the instances on its list, the retry would crash the third engine.
 	fl := &fleet.Fleet{}
 	t.Cleanup(fl.Close)
 	assert.NilError(t, fl.StartPlatform("--list-lag", "0s"))
@@ -72,16 +71,16 @@
 	old, err := fl.StartEntry("entry-0", "a", "--list-period", "1h")
 	assert.NilError(t, err)
 	assert.NilError(t, fleet.WaitReady(ctx, old.Address))
-	young, err := fl.StartEntry("entry-1", "a", "--list-period", "100ms")
+	unlisted, err := fl.StartEntry("entry-1", "a", "--list-period", "100ms")
 	assert.NilError(t, err)
-	assert.NilError(t, fleet.WaitReady(ctx, young.Address))
+	assert.NilError(t, fleet.WaitReady(ctx, unlisted.Address))
 	send := func(address string) load.Result {
 		caller := &load.Caller{Address: address, Token: token, HTTP: http.DefaultClient}
 		return caller.Complete(ctx, "lyric", stand.PoisonMarker+" "+load.Prompt(500, 1), 10)
 	}
 	first := send(old.Address)
 	assert.Equal(t, first.Status, http.StatusUnprocessableEntity, first.Detail)
-	again := send(young.Address)
+	again := send(unlisted.Address)
 	assert.Equal(t, again.Status, http.StatusUnprocessableEntity, again.Detail)
 	assert.Equal(t, again.Ran, "NotRun")
 }
--- a/internal/proof/readme_test.go
+++ b/internal/proof/readme_test.go
@@ -16,7 +16,7 @@
 
 var shellBlock = regexp.MustCompile("(?s)```sh\n(.*?)```")
 
-// transcript returns the commands of the README's section, with the ports and files of the test in place of its own.
+// transcript returns the commands of the README's section as a script, with ports and files replaced by those of the test.
 func transcript(t *testing.T, dir string) string {
 	t.Helper()
 	raw, err := os.ReadFile("../../README.md")
@@ -45,29 +45,29 @@
 }
 
 func TestReadmeTranscript(t *testing.T) {
-	// A new user types the README's commands one after the other.
-	// A first version is accepted, a caller is answered, a doubled update runs once, a bad declaration ends with 2 and
-	// a stale plan with 3, and the report is a page with plots.
+	// Guards against README commands that no longer work when run in order: a first version is accepted, a caller gets an
+	// answer, a resent update runs once, an invalid declaration exits with 2 and a stale plan with 3, and the report is an
+	// HTML page with plots.
 	dir := t.TempDir()
 	cmd := exec.CommandContext(t.Context(), "bash", "-c", transcript(t, dir))
 	cmd.Dir = "../.."
-	// The script starts processes of its own; they end with the group if it fails half-way.
+	// The script starts processes. If it fails, killing its process group ends them.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	cmd.Cancel = func() error { return syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) }
 	out, err := cmd.CombinedOutput()
 	if err != nil {
 		_ = cmd.Cancel()
 	}
-	said := string(out)
-	assert.NilError(t, err, "%s", said)
+	output := string(out)
+	assert.NilError(t, err, "%s", output)
 	wanted := []string{
 		"no problems", "accepted as version 1", "data: [DONE]", "+ /Organisations/cathedral", "+ /Services/psalm", `"id":"psalm"`, "accepted as version 2",
 		`unknown field "Wight"`, "exit code 2", "exit code 3", "version 2 by on-call", "entry-0", "short-first-token",
 	}
 	for _, want := range wanted {
-		assert.Assert(t, strings.Contains(said, want), "%q is not in:\n%s", want, said)
+		assert.Assert(t, strings.Contains(output, want), "%q is not in:\n%s", want, output)
 	}
-	assert.Equal(t, strings.Count(said, `{"Ran":1,`), 2, fmt.Sprintf("the update ran more than once:\n%s", said))
+	assert.Equal(t, strings.Count(output, `{"Ran":1,`), 2, fmt.Sprintf("the update ran more than once:\n%s", output))
 	page, err := os.ReadFile(filepath.Join(dir, "report.html"))
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Count(string(page), "<svg") >= 2)
--- a/internal/proof/restart_test.go
+++ b/internal/proof/restart_test.go
@@ -9,11 +9,12 @@
 )
 
 func TestRestartWaitsForAProcessThatEndsLate(t *testing.T) {
-	// Guards against a killed engine that takes long to end on a busy machine, counts as running and is never restarted.
-	st, err := open(t.Context(), Options{})
+	// A killed engine can take long to exit on a busy machine. Guards against treating it as running in the meantime, so that
+	// it is never restarted.
+	st, err := newSetup(t.Context(), Options{})
 	assert.NilError(t, err)
 	defer st.close()
-	up := st.of("lyric")[0]
+	up := st.replicas("lyric")[0]
 	killed := st.processOf(up)
 	restarted := make(chan error, 2)
 	for range cap(restarted) {
@@ -29,5 +30,5 @@
 		assert.NilError(t, <-restarted)
 	}
 	assert.Assert(t, up.process != killed)
-	assert.Assert(t, up.answers(context.Background()))
+	assert.Assert(t, up.acceptsConnections(context.Background()))
 }
--- a/internal/proof/site.go
+++ b/internal/proof/setup.go
@@ -15,28 +15,31 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Size of a run's fleet.
 const (
-	engines   = 4
-	services  = 3
-	instances = 3
+	// engineCount is the number of replicas of the model service.
+	engineCount = 4
+	// boardCount is the number of replicas of the plain service.
+	boardCount = 3
+	// instanceCount is the number of entry instances.
+	instanceCount = 3
 )
 
 const (
 	callerToken   = "proof-caller"
 	operatorToken = "proof-operator"
-	// deadline is what every request has.
+	// deadline is the deadline of every request.
 	deadline = 10 * time.Second
-	// settleTime is how long a run's end may take to free the engines' memory.
+	// settleTime is the timeout for the fleet to settle: for an instance to become ready, for a poison request to end, and
+	// for engine memory to be freed after the load.
 	settleTime = 10 * time.Second
 )
 
-// domains are the failure domains; engines and instances are spread over them in turn.
+// domains are the failure domains; the replicas and instances are assigned to them in turn.
 var domains = []string{"a", "b"}
 
-// upstream is one replica behind its proxy.
+// upstream is a replica behind its own fault-injecting proxy.
 type upstream struct {
-	// killed tells that the run itself ended the process.
+	// killed reports whether the run killed the process.
 	killed  atomic.Bool
 	name    string
 	service string
@@ -45,39 +48,42 @@
 	proxy   *fault.Proxy
 }
 
-// site is the fleet of one run.
-type site struct {
-	fleet     *fleet.Fleet
-	store     *fault.Proxy
-	upstreams []*upstream
-	balancer  *balancer
-	versions  *versions
-	config    *conf.Log
+// setup is the fleet of one run, with its proxies and what the run records for the report.
+type setup struct {
+	fleet      *fleet.Fleet
+	storeProxy *fault.Proxy
+	upstreams  []*upstream
+	balancer   *balancer
+	versions   *versions
+	config     *conf.Log
 
-	// restarting keeps two faults from restarting one replica twice.
+	// restarting prevents two faults from restarting the same replica twice.
 	restarting sync.Mutex
 
-	injectedAt, undoneAt time.Time
+	// injectedAt is when the injection of the faults began.
+	injectedAt time.Time
+	// undoneAt is when all faults were undone.
+	undoneAt time.Time
 
 	stop    context.CancelFunc
 	proxies sync.WaitGroup
 
 	mu sync.Mutex
-	// started numbers the instances, so that each has a name of its own.
-	started int
-	notes   []string
-	// deaths counts the engines that ended without having been killed by the run.
-	deaths int
-	// landed is the highest version that a submitter was told of.
-	landed int64
+	// nextInstance is the number in the name of the next instance, so that all names differ.
+	nextInstance int
+	notes        []string
+	// crashes counts the engines that exited without having been killed by the run.
+	crashes int
+	// acceptedVersion is the highest version whose acceptance a submitter has received.
+	acceptedVersion int64
 }
 
-// open starts a fleet and waits until it serves.
-func open(ctx context.Context, opts Options) (*site, error) {
+// newSetup starts a fleet and waits until it is ready.
+func newSetup(ctx context.Context, opts Options) (*setup, error) {
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
-	st := &site{fleet: &fleet.Fleet{Logs: opts.Logs}, stop: stop}
+	st := &setup{fleet: &fleet.Fleet{Logs: opts.Logs}, stop: stop}
 	st.balancer = newBalancer()
-	st.versions = &versions{st: st, seen: map[string]int64{}}
+	st.versions = &versions{st: st, highest: map[string]int64{}}
 	if err := st.start(ctx, running); err != nil {
 		st.close()
 		return nil, err
@@ -85,29 +91,29 @@
 	return st, nil
 }
 
-func (st *site) start(ctx, running context.Context) error {
+func (st *setup) start(ctx, running context.Context) error {
 	if err := st.fleet.StartPlatform("--list-lag", "300ms"); err != nil {
 		return err
 	}
 	var err error
-	if st.store, err = st.proxy(running, st.fleet.Platform.Address); err != nil {
+	if st.storeProxy, err = st.proxy(running, st.fleet.Platform.Address); err != nil {
 		return err
 	}
 	st.config = conf.New(store.New(st.fleet.Platform.Address))
 	if err := st.configure(ctx); err != nil {
 		return err
 	}
-	for number := range engines {
+	for number := range engineCount {
 		if err := st.startUpstream(running, "lyric", number); err != nil {
 			return err
 		}
 	}
-	for number := range services {
+	for number := range boardCount {
 		if err := st.startUpstream(running, "board", number); err != nil {
 			return err
 		}
 	}
-	for range instances {
+	for range instanceCount {
 		if _, err := st.startInstance(ctx); err != nil {
 			return err
 		}
@@ -115,15 +121,15 @@
 	return nil
 }
 
-// close ends everything.
-func (st *site) close() {
+// close stops all processes and proxies.
+func (st *setup) close() {
 	st.fleet.Close()
 	st.stop()
 	st.proxies.Wait()
 }
 
-// proxy puts a fault-injecting proxy before the address.
-func (st *site) proxy(running context.Context, address string) (*fault.Proxy, error) {
+// proxy starts a fault-injecting proxy in front of the address.
+func (st *setup) proxy(running context.Context, address string) (*fault.Proxy, error) {
 	px, err := fault.New("tcp", "127.0.0.1:0", address)
 	if err != nil {
 		return nil, err
@@ -132,7 +138,7 @@
 	return px, nil
 }
 
-func (st *site) startUpstream(running context.Context, service string, number int) error {
+func (st *setup) startUpstream(running context.Context, service string, number int) error {
 	up := &upstream{name: fmt.Sprintf("%s-%d", service, number), service: service, domain: domains[number%len(domains)]}
 	if err := st.startProcess(up, "127.0.0.1:0"); err != nil {
 		return err
@@ -147,8 +153,8 @@
 	})
 }
 
-// startProcess runs the replica's process at the address.
-func (st *site) startProcess(up *upstream, address string) error {
+// startProcess starts the replica's process, which listens on the address.
+func (st *setup) startProcess(up *upstream, address string) error {
 	kind := []string{"engine", "--step", "5ms", "--prefill-chunk", "2000"}
 	if up.service == "board" {
 		kind = []string{"service", "--delay", "5ms"}
@@ -160,14 +166,14 @@
 	return err
 }
 
-// startInstance runs one more entry instance and gives it to the balancer.
-func (st *site) startInstance(ctx context.Context) (*member, error) {
+// startInstance starts one more entry instance, waits until it is ready, and adds it to the balancer.
+func (st *setup) startInstance(ctx context.Context) (*member, error) {
 	st.mu.Lock()
-	number := st.started
-	st.started++
+	number := st.nextInstance
+	st.nextInstance++
 	st.mu.Unlock()
 	name := fmt.Sprintf("entry-%d", number)
-	pr, err := st.fleet.StartEntry(name, domains[number%len(domains)], "--store", st.store.Address,
+	pr, err := st.fleet.StartEntry(name, domains[number%len(domains)], "--store", st.storeProxy.Address,
 		"--list-period", "200ms", "--load-period", "200ms", "--drain-notice", "500ms", "--drain-time", "20s")
 	if err != nil {
 		return nil, err
@@ -180,7 +186,7 @@
 	return st.balancer.add(name, pr), nil
 }
 
-func (st *site) configure(ctx context.Context) error {
+func (st *setup) configure(ctx context.Context) error {
 	progress := decl.Duration(time.Second)
 	limit := decl.Duration(deadline)
 	cfg := decl.Config{
@@ -194,19 +200,19 @@
 		Organisations: map[string]decl.Organisation{"parish": {TokenDigests: []string{decl.TokenDigest(callerToken)}}},
 		Operators:     map[string]decl.Operator{"keeper": {TokenDigests: []string{decl.TokenDigest(operatorToken)}}},
 	}
-	st.landed = 1
+	st.acceptedVersion = 1
 	return conf.Seed(ctx, st.fleet.Platform.Address, &cfg)
 }
 
-// note keeps a line for the report.
-func (st *site) note(format string, args ...any) {
+// addNote adds a line to the report.
+func (st *setup) addNote(format string, args ...any) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.notes = append(st.notes, fmt.Sprintf(format, args...))
 }
 
-// of returns the replicas of a service.
-func (st *site) of(service string) []*upstream {
+// replicas returns the replicas of a service.
+func (st *setup) replicas(service string) []*upstream {
 	var ups []*upstream
 	for _, up := range st.upstreams {
 		if up.service == service {
--- a/internal/proof/state_test.go
+++ b/internal/proof/state_test.go
@@ -49,7 +49,7 @@
 	assert.Equal(t, version, base+1)
 }
 
-// sendUpdate sends one board update under the key and returns its status and what the instance said about its run.
+// sendUpdate sends a board update under the key and returns the status and the header that reports whether it ran.
 func sendUpdate(t *testing.T, inst *fleet.Process, key string) (int, string) {
 	t.Helper()
 	caller := &load.Caller{Address: inst.Address, Token: token, HTTP: http.DefaultClient}
@@ -73,10 +73,9 @@
 	return counts
 }
 
-func TestStoreDownAtStart(t *testing.T) {
-	// The store goes down and an instance is replaced while it is. The new one takes the configuration from a peer and
-	// serves short prompts; a keyed board update is refused as not run, truthfully. After the outage the same update
-	// runs, once.
+func TestInstanceStartsDuringStoreOutage(t *testing.T) {
+	// An instance starts during an outage of the store. It must fetch the configuration from a peer and serve short prompts.
+	// A keyed board update must be refused with NotRun and must not run. After the outage the same update must run once.
 	t.Parallel()
 	fl := &fleet.Fleet{}
 	t.Cleanup(fl.Close)
@@ -112,9 +111,9 @@
 	assert.Equal(t, runs(t, board)["hymn"], 1)
 }
 
-func TestLostAnswersAndRacingResends(t *testing.T) {
-	// A third of the store's answers to writes is lost, and every update is sent to three instances at once, as by a
-	// caller whose first try went silent. Each update runs once.
+func TestConcurrentResendsRunOnce(t *testing.T) {
+	// 30% of the store's answers to writes are lost, and every update is sent to three instances at the same time, as by a
+	// caller that retries an attempt without an answer. Guards against an update that runs twice, or not at all.
 	t.Parallel()
 	fl := &fleet.Fleet{}
 	t.Cleanup(fl.Close)
@@ -151,7 +150,7 @@
 	assert.Equal(t, len(runs(t, board)), updates)
 }
 
-func reported(t *testing.T, engine *fleet.Process) []string {
+func reportedModels(t *testing.T, engine *fleet.Process) []string {
 	t.Helper()
 	resp, err := http.Get("http://" + engine.Address + "/v1/load")
 	assert.NilError(t, err)
@@ -161,9 +160,9 @@
 	return report.Models
 }
 
-func TestVersionIsBroughtAbout(t *testing.T) {
-	// An operator declares a version of the model and an adapter. The instance that holds the pool's lease has the
-	// engines load them one after the other, while callers are served all the time by those that are not loading.
+func TestEnginesLoadDeclaredVersion(t *testing.T) {
+	// An operator declares a new version of the model. The instance that holds the pool's lease must have the engines load it
+	// one after another, so that callers are always served by an engine that is not loading.
 	t.Parallel()
 	fl := &fleet.Fleet{}
 	t.Cleanup(fl.Close)
@@ -188,7 +187,7 @@
 		res := caller.Complete(ctx, "lyric", load.Prompt(1000, 1), 3)
 		assert.Equal(t, res.Outcome, load.OutcomeWhole, res.Detail)
 		for _, engine := range engines {
-			if !slices.Equal(reported(t, engine), wanted) {
+			if !slices.Equal(reportedModels(t, engine), wanted) {
 				return false
 			}
 		}
--- a/internal/proof/status_test.go
+++ b/internal/proof/status_test.go
@@ -17,7 +17,7 @@
 
 const operatorToken = "proof-operator"
 
-// addOperator submits a patch that lets the operator of the tests in.
+// addOperator submits a patch that adds the operator of the tests.
 func (lf *longFleet) addOperator() {
 	client := store.New(lf.Platform.Address)
 	defer client.Close()
@@ -30,9 +30,9 @@
 }
 
 func TestStatusOverAllInstances(t *testing.T) {
-	// An operator asks one instance for the state of the fleet while another one is dead.
-	// The living ones agree on the pool's coordinator, and the dead one is named as missing until it is forgotten, never
-	// left out without a word.
+	// An operator requests the status of the fleet from one instance, before and after another instance is killed. All live
+	// instances must report the same coordinator of the pool. The dead one must be listed as missing until it is removed:
+	// otherwise the operator does not notice that it is gone.
 	lf := newLongFleet(t, 2, 3)
 	lf.addOperator()
 	client, err := oper.New(oper.Options{Server: lf.entries[0].Address, Token: operatorToken, Timeout: 5 * time.Second})
--- a/internal/proof/versions.go
+++ b/internal/proof/versions.go
@@ -12,42 +12,44 @@
 	"dandelionsail.example/dandelionsail/internal/load"
 )
 
-// versionPeriod is how often each instance's version is looked at.
+// versionPeriod is the pause between two polls of the instances' configuration versions.
 const versionPeriod = 200 * time.Millisecond
 
-// versions watches that no instance goes back to a lower version of the configuration.
+// versions polls the instances' configuration versions and counts how often one went back to a lower version.
 type versions struct {
-	st *site
+	st *setup
 
-	mu   sync.Mutex
-	seen map[string]int64
-	back int
+	mu sync.Mutex
+	// highest holds the highest version seen, by instance name.
+	highest map[string]int64
+	// regressions counts the polls that returned a lower version than an earlier one.
+	regressions int
 }
 
-// run looks until the context ends.
+// run polls all instances until the context ends.
 func (vs *versions) run(ctx context.Context) error {
 	for delay.For(ctx, versionPeriod) {
 		for _, mb := range vs.st.balancer.all() {
 			if version, ok := vs.version(ctx, mb); ok {
-				vs.saw(mb.name, version)
+				vs.record(mb.name, version)
 			}
 		}
 	}
 	return nil
 }
 
-func (vs *versions) saw(name string, version int64) {
+func (vs *versions) record(name string, version int64) {
 	vs.mu.Lock()
 	defer vs.mu.Unlock()
-	if version < vs.seen[name] {
-		vs.back++
+	if version < vs.highest[name] {
+		vs.regressions++
 	}
-	vs.seen[name] = max(vs.seen[name], version)
+	vs.highest[name] = max(vs.highest[name], version)
 }
 
-// version asks an instance which version is in force there.
+// version returns the configuration version that is in force on an instance, or false if the instance does not answer.
 func (vs *versions) version(ctx context.Context, mb *member) (int64, bool) {
-	limited, cancel := context.WithTimeout(ctx, probeTime)
+	limited, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	caller := &load.Caller{Address: mb.process.Address, Token: operatorToken, HTTP: vs.st.balancer.client}
 	resp, err := caller.Do(limited, http.MethodGet, "/operator/v1/status", nil, nil)
