--- a/cmd/sailbench/main.go
+++ b/cmd/sailbench/main.go
@@ -1,4 +1,4 @@
-// Sailbench runs the stand-ins of the outside systems, load against a fleet, and experiments.
+// Sailbench runs stand-ins for the external systems, load tests against a fleet, and experiments.
 package main
 
 import (
--- a/internal/bench/draw.go
+++ b/internal/bench/draw.go
@@ -13,15 +13,16 @@
 	"dandelionsail.example/dandelionsail/internal/load"
 )
 
-// The size of a drawing: one panel a length class.
+// Size of a plot, which has one panel for each length class.
 const (
 	panelWidth  = 2.6 * vg.Inch
 	panelHeight = 2.6 * vg.Inch
 	dotsPerInch = 60
+	// curvePoints is the number of quantiles from which a curve is drawn.
 	curvePoints = 60
 )
 
-// lineColours tell the variants apart, also for readers who do not see red and green as different.
+// lineColours distinguish the variants, also for readers with red-green colour blindness.
 var lineColours = []color.RGBA{
 	{0, 114, 178, 255},
 	{230, 159, 0, 255},
@@ -47,9 +48,9 @@
 	width := vg.Length(len(panels)) * panelWidth
 	canvas := vgimg.NewWith(vgimg.UseWH(width, panelHeight), vgimg.UseDPI(dotsPerInch))
 	tiles := draw.Tiles{Rows: 1, Cols: len(panels), PadX: vg.Points(6), PadTop: vg.Points(4)}
-	places := plot.Align([][]*plot.Plot{panels}, tiles, draw.New(canvas))
+	canvases := plot.Align([][]*plot.Plot{panels}, tiles, draw.New(canvas))
 	for i, panel := range panels {
-		panel.Draw(places[0][i])
+		panel.Draw(canvases[0][i])
 	}
 	file, err := os.Create(path)
 	if err != nil {
@@ -76,7 +77,7 @@
 		if gr == nil || gr.FirstToken.Count() == 0 {
 			continue
 		}
-		line, err := plotter.NewLine(curve(gr.FirstToken))
+		line, err := plotter.NewLine(quantileCurve(gr.FirstToken))
 		if err != nil {
 			return nil, err
 		}
@@ -89,12 +90,12 @@
 		}
 	}
 	panel.Legend.TextStyle.Font.Size = vg.Points(7)
-	fillEmpty(panel)
+	setEmptyAxes(panel)
 	return panel, nil
 }
 
-// fillEmpty gives an axis to a panel without a line, since a logarithmic one cannot begin at 0.
-func fillEmpty(panel *plot.Plot) {
+// setEmptyAxes sets the ranges of the axes of a panel without a line, since a logarithmic axis cannot begin at 0.
+func setEmptyAxes(panel *plot.Plot) {
 	if panel.Y.Min > 0 && panel.Y.Max > panel.Y.Min {
 		return
 	}
@@ -102,14 +103,16 @@
 	panel.Y.Min, panel.Y.Max = 1, 10
 }
 
-func dashes(turn int) []vg.Length {
-	if turn == 0 {
+// dashes returns the line style for a cycle through the colours: solid for the first one, dashed for the others.
+func dashes(cycle int) []vg.Length {
+	if cycle == 0 {
 		return nil
 	}
-	return []vg.Length{vg.Points(2 * float64(turn)), vg.Points(2)}
+	return []vg.Length{vg.Points(2 * float64(cycle)), vg.Points(2)}
 }
 
-func curve(times *load.Times) plotter.XYs {
+// quantileCurve returns the quantiles of the times in milliseconds.
+func quantileCurve(times *load.Times) plotter.XYs {
 	points := make(plotter.XYs, curvePoints)
 	for i := range points {
 		share := float64(i+1) / curvePoints
--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -14,21 +14,21 @@
 
 type engineCommand struct {
 	standinOptions
-	Model           string        `long:"model" description:"model the engine offers" default:"lyric"`
-	MemoryTokens    int64         `long:"memory-tokens" description:"tokens the KV memory holds" default:"400000"`
-	Step            time.Duration `long:"step" description:"time of one step of the batch" default:"20ms"`
+	Model           string        `long:"model" description:"model that the engine serves" default:"lyric"`
+	MemoryTokens    int64         `long:"memory-tokens" description:"capacity of the KV cache in tokens" default:"400000"`
+	Step            time.Duration `long:"step" description:"duration of one batch step" default:"20ms"`
 	PrefillChunk    int64         `long:"prefill-chunk" description:"token budget of one step" default:"400"`
 	AttentionTokens int64         `long:"attention-tokens" description:"position at which a prompt token costs twice as much; 0 for equal cost" default:"0"`
-	MaxBatch        int           `long:"max-batch" description:"requests that run at once" default:"32"`
-	MaxWaiting      int           `long:"max-waiting" description:"requests that wait before more are refused" default:"256"`
-	ReportLag       time.Duration `long:"report-lag" description:"how old a load report is" default:"200ms"`
-	CacheLag        time.Duration `long:"cache-lag" description:"how late cache events are" default:"300ms"`
-	CacheGap        float64       `long:"cache-gap" description:"share of the batches of cache events that are lost" default:"0"`
-	Scale           float64       `long:"scale" description:"how many times as fast everything goes" default:"1"`
+	MaxBatch        int           `long:"max-batch" description:"maximum number of requests that run at once" default:"32"`
+	MaxWaiting      int           `long:"max-waiting" description:"maximum number of waiting requests; more are refused" default:"256"`
+	ReportLag       time.Duration `long:"report-lag" description:"age of a load report" default:"200ms"`
+	CacheLag        time.Duration `long:"cache-lag" description:"delay of cache events" default:"300ms"`
+	CacheGap        float64       `long:"cache-gap" description:"share of cache event batches that are lost" default:"0"`
+	Scale           float64       `long:"scale" description:"factor by which the engine runs faster than real time" default:"1"`
 	CheckFencing    bool          `long:"check-fencing" description:"refuse orders with an old fencing number"`
-	LoadTime        time.Duration `long:"load-time" description:"time to load a model where no weight store is given" default:"2s"`
+	LoadTime        time.Duration `long:"load-time" description:"time to load a model without a weight store" default:"2s"`
 	Weights         string        `long:"weights" description:"address of the weight store; empty for none"`
-	Seed            uint64        `long:"seed" description:"seed of the lost batches and random faults" default:"1"`
+	Seed            uint64        `long:"seed" description:"seed of lost cache event batches and random faults" default:"1"`
 }
 
 // Execute implements flags.Commander.
--- a/internal/bench/experiment.go
+++ b/internal/bench/experiment.go
@@ -20,31 +20,32 @@
 
 type experimentCommand struct {
 	Scenarios string        `long:"scenarios" description:"directory of the scenario files" default:"scenarios"`
-	Seeds     []uint64      `long:"seed" description:"seed of a run; give it once for each" default:"1" default:"2" default:"3"`
-	Policies  []string      `long:"policy" description:"policy to compare; give it once for each" default:"dandelionsail" default:"least-requests" default:"round-robin"`
-	Time      time.Duration `long:"time" description:"length of one run; 0 takes the scenario's"`
+	Seeds     []uint64      `long:"seed" description:"seed of a run; repeat the flag for several" default:"1" default:"2" default:"3"`
+	Policies  []string      `long:"policy" description:"policy to compare; repeat the flag for several" default:"dandelionsail" default:"least-requests" default:"round-robin"`
+	Time      time.Duration `long:"time" description:"duration of one run; 0 uses the scenario's"`
 	Out       string        `long:"out" description:"directory for JSON and plots; empty writes none"`
-	Lock      string        `long:"lock" description:"file that is locked during each run, so that several measurers do not disturb each other"`
-	Parallel  int           `long:"parallel" description:"runs at the same time, each with processes of its own" default:"1"`
-	Logs      bool          `long:"logs" description:"pass on what the processes log"`
+	Lock      string        `long:"lock" description:"file to lock during each run, so that measurements on the same machine do not disturb each other"`
+	Parallel  int           `long:"parallel" description:"number of concurrent runs, each with its own processes" default:"1"`
+	Logs      bool          `long:"logs" description:"print the logs of the processes"`
 	Args      struct {
 		Name string `positional-arg-name:"NAME" required:"yes" description:"sreekovil, sundarban, flood, overload, faults, disciplines or control"`
 	} `positional-args:"yes"`
 }
 
-// variant is one line of an experiment.
+// variant is one of the set-ups that an experiment compares: a scenario under a policy.
 type variant struct {
 	Name     string
 	scenario *load.Scenario
 	policy   string
+	// withLong includes the long prompts.
 	withLong bool
-	// loadPeriod is the time between load reports; 0 takes the scenario's.
+	// loadPeriod is the time between load reports; 0 uses the scenario's.
 	loadPeriod time.Duration
-	// disrupt does harm while the load runs; nil for none.
+	// disrupt injects faults while the load runs; nil injects none.
 	disrupt func(ctx context.Context, rg *rig) error
 }
 
-// outcome is what the runs of a variant gave together.
+// outcome aggregates the runs of a variant.
 type outcome struct {
 	mu      sync.Mutex
 	Name    string
@@ -52,23 +53,24 @@
 	summary *load.Summary
 	// Figures is the summary as written to JSON.
 	Figures summaryFigures
-	// HeldTokens is what engines still held some time after the last request; LostSteps what the machine was too busy
-	// for.
+	// HeldTokens is the number of tokens that the engines still held settleTime after the last request.
 	HeldTokens int64
-	LostSteps  int64
-	// Work is what the engines did as a share of their capacity over the time of sending.
+	// LostSteps counts the steps that the engines missed because the machine was too busy.
+	LostSteps int64
+	// Work is the work that the engines did, as a share of their capacity over the duration of the load.
 	Work float64
-	// Doubled counts keys that plain services ran more than once.
+	// Doubled counts the idempotency keys that plain services executed more than once.
 	Doubled int
-	// CoreShare is the mean processor time of one entry instance, in cores.
+	// CoreShare is the mean CPU usage of one entry instance, in cores.
 	CoreShare float64
-	// PeerBytes is the mean of the bytes a second that an instance sent to and received from others.
+	// PeerBytes is the mean number of bytes per second that an instance exchanges with its peers, in both directions.
 	PeerBytes float64
-	// ResidentBytes is the largest memory of an entry instance.
+	// ResidentBytes is the largest resident memory of an entry instance at the end of a run.
 	ResidentBytes int64
-	// GoodputTokens is the tokens a second of whole answers in time.
+	// GoodputTokens is the tokens per second of complete answers that arrived in time.
 	GoodputTokens float64
-	seconds       float64
+	// seconds is the total duration of the load over all runs.
+	seconds float64
 }
 
 // Execute implements flags.Commander.
@@ -93,7 +95,8 @@
 	return cmd.save(outcomes)
 }
 
-// measure runs every variant in turn for each seed, so that a disturbance of the machine meets them alike.
+// measure iterates over the seeds and runs all variants for each of them, so that a disturbance of the machine affects all
+// variants alike.
 func (cmd *experimentCommand) measure(ctx context.Context, variants []variant) ([]*outcome, error) {
 	progress := tool.Progress()
 	lock := &fileLock{path: cmd.Lock}
@@ -104,13 +107,13 @@
 	}
 	for group := range slices.Chunk(cmd.jobs(variants, outcomes), cmd.Parallel) {
 		progress(fmt.Sprintf("seed %d: %s", group[0].seed, group[0].Name))
-		if err := lock.hold(); err != nil {
+		if err := lock.acquire(); err != nil {
 			return nil, err
 		}
-		if err := runTogether(ctx, group, cmd.Logs); err != nil {
+		if err := runParallel(ctx, group, cmd.Logs); err != nil {
 			return nil, err
 		}
-		lock.yield()
+		lock.releaseIfExpired()
 	}
 	for _, oc := range outcomes {
 		oc.finish()
@@ -118,7 +121,7 @@
 	return outcomes, nil
 }
 
-// job is one run.
+// job is one run of a variant with one seed.
 type job struct {
 	variant
 	seed    uint64
@@ -135,11 +138,11 @@
 	return jobs
 }
 
-func runTogether(ctx context.Context, jobs []job, logs bool) error {
+func runParallel(ctx context.Context, jobs []job, showLogs bool) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, jb := range jobs {
 		group.Go(func() error {
-			if err := jb.run(ctx, logs); err != nil {
+			if err := jb.run(ctx, showLogs); err != nil {
 				return fmt.Errorf("bench: seed %d, %s: %w", jb.seed, jb.Name, err)
 			}
 			return nil
@@ -148,9 +151,9 @@
 	return group.Wait()
 }
 
-func (jb *job) run(ctx context.Context, pass bool) error {
+func (jb *job) run(ctx context.Context, showLogs bool) error {
 	var logs io.Writer
-	if pass {
+	if showLogs {
 		logs = os.Stderr
 	}
 	rg, err := newRig(ctx, jb.variant, logs)
@@ -158,8 +161,8 @@
 		return err
 	}
 	defer rg.fleet.Close()
-	before := rg.usage()
-	said, err := rg.peerBytes(ctx)
+	before := rg.processorTimes()
+	bytesBefore, err := rg.peerBytes(ctx)
 	if err != nil {
 		return err
 	}
@@ -175,17 +178,17 @@
 		return err
 	}
 	elapsed := time.Since(started)
-	after := rg.usage()
-	saidAfter, err := rg.peerBytes(ctx)
+	after := rg.processorTimes()
+	bytesAfter, err := rg.peerBytes(ctx)
 	if err != nil {
 		return err
 	}
 	jb.outcome.mu.Lock()
 	defer jb.outcome.mu.Unlock()
 	jb.outcome.add(records, jb.scenario)
-	jb.outcome.use(before, after, elapsed)
-	jb.outcome.PeerBytes += float64(saidAfter-said) / elapsed.Seconds() / float64(len(rg.entries))
-	return jb.outcome.check(ctx, rg)
+	jb.outcome.addUsage(before, after, elapsed)
+	jb.outcome.PeerBytes += float64(bytesAfter-bytesBefore) / elapsed.Seconds() / float64(len(rg.entries))
+	return jb.outcome.addFinalState(ctx, rg)
 }
 
 func (oc *outcome) add(records []load.Record, sc *load.Scenario) {
@@ -194,22 +197,23 @@
 	oc.seconds += sc.Scaled(sc.Mix.Duration).Seconds()
 }
 
-// check looks at what the run left behind.
-func (oc *outcome) check(ctx context.Context, rg *rig) error {
-	st, err := rg.settled(ctx)
+// addFinalState adds the state of the engines and the duplicate executions at the end of the run.
+func (oc *outcome) addFinalState(ctx context.Context, rg *rig) error {
+	st, err := rg.waitIdle(ctx)
 	if err != nil {
 		return err
 	}
 	oc.HeldTokens += st.UsedTokens
 	oc.LostSteps += st.LostSteps
 	oc.Work += st.Work / (rg.sc.Capacity() * rg.sc.Mix.Duration.Std().Seconds())
-	doubled, err := rg.doubled(ctx)
+	doubled, err := rg.countDuplicates(ctx)
 	oc.Doubled += doubled
 	return err
 }
 
-// usage is the processor time of each entry instance by process id.
-func (rg *rig) usage() map[int]time.Duration {
+// processorTimes returns the CPU time that each entry instance has used, by process ID. It omits processes that cannot
+// be read.
+func (rg *rig) processorTimes() map[int]time.Duration {
 	used := map[int]time.Duration{}
 	for _, pr := range rg.entries {
 		if period, err := processorTime(pr.ProcessID()); err == nil {
@@ -219,7 +223,8 @@
 	return used
 }
 
-func (oc *outcome) use(before, after map[int]time.Duration, elapsed time.Duration) {
+// addUsage adds the CPU and memory usage of the entry instances that run at the end.
+func (oc *outcome) addUsage(before, after map[int]time.Duration, elapsed time.Duration) {
 	var total time.Duration
 	for pid, used := range after {
 		total += used - before[pid]
@@ -230,6 +235,7 @@
 	oc.CoreShare += total.Seconds() / elapsed.Seconds() / float64(len(after))
 }
 
+// finish turns the sums over all runs into means and computes the derived figures.
 func (oc *outcome) finish() {
 	oc.CoreShare /= float64(oc.Runs)
 	oc.Work /= float64(oc.Runs)
@@ -238,7 +244,7 @@
 	oc.GoodputTokens = float64(oc.Figures.Classes[load.ClassAll].Tokens) / oc.seconds
 }
 
-// tableClasses is the order of the classes in a table.
+// tableClasses returns the classes in the order in which a table lists them.
 func tableClasses() []string {
 	return []string{"Short", "Medium", "Large", "Long", "Huge", load.ClassAll, load.ClassPlain}
 }
@@ -271,7 +277,8 @@
 	fmt.Fprintln(out)
 }
 
-// writeOrganisations shows the short prompts of each organisation, which is where a flood would be felt.
+// writeOrganisations prints the latency of each organisation's short prompts, which is where a flood by another organisation
+// shows, and the counts of all its completions.
 func writeOrganisations(out io.Writer, oc *outcome) {
 	names := make([]string, 0, len(oc.summary.Organisations))
 	for name := range oc.summary.Organisations {
--- a/internal/bench/fleetslopes.go
+++ b/internal/bench/fleetslopes.go
@@ -14,23 +14,25 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// fleetSlopesCommand measures instances that serve nobody: what is left is control.
+// fleetSlopesCommand measures idle instances, whose only cost is the control plane.
 type fleetSlopesCommand struct {
 	Out       string        `long:"out" description:"file of measurements to add to" default:"docs/capacity/measured.json"`
-	Instances []int         `long:"instances" description:"size of a fleet; give it several times" default:"3" default:"6" default:"12" default:"30" default:"60"`
+	Instances []int         `long:"instances" description:"number of instances in a fleet; repeat the flag for several fleets" default:"3" default:"6" default:"12" default:"30" default:"60"`
 	Engines   int           `long:"engines" description:"engines of each fleet" default:"6"`
-	Time      time.Duration `long:"time" description:"time of each measurement" default:"15s"`
+	Time      time.Duration `long:"time" description:"duration of each measurement" default:"15s"`
 }
 
-// fleetSettle is how long instances take to start. After it each probes every other one once, which opens the connections
-// that later rounds use.
+// fleetSettle is how long instances take to start. Afterwards, each instance probes every other one once, which opens the
+// connections that later rounds use.
 const fleetSettle = 5 * time.Second
 
-// idleCost is what one instance of a fleet took on average.
+// idleCost is the mean cost of one instance of an idle fleet.
 type idleCost struct {
-	cores    float64
+	cores float64
+	// resident is the resident memory in bytes.
 	resident float64
-	bytes    float64
+	// bytes is the peer traffic in bytes per second, sent and received.
+	bytes float64
 }
 
 // Execute implements flags.Commander.
@@ -63,13 +65,13 @@
 		return idleCost{}, err
 	}
 	time.Sleep(fleetSettle + time.Duration(count)*member.ProbePeriod)
-	before, err := readUse(entries)
+	before, err := readUsage(entries)
 	if err != nil {
 		return idleCost{}, err
 	}
 	began := time.Now()
 	time.Sleep(cmd.Time)
-	after, err := readUse(entries)
+	after, err := readUsage(entries)
 	if err != nil {
 		return idleCost{}, err
 	}
@@ -119,36 +121,38 @@
 	return conf.Seed(context.Background(), fl.Platform.Address, &cfg)
 }
 
-// use is what all instances have used so far.
-type use struct {
+// usage is the total usage of all instances.
+type usage struct {
 	processor time.Duration
-	resident  float64
-	bytes     int64
+	// resident is the resident memory in bytes.
+	resident float64
+	// bytes is the peer traffic since the start, sent and received.
+	bytes int64
 }
 
-func readUse(entries []*fleet.Process) (use, error) {
-	var sum use
+func readUsage(entries []*fleet.Process) (usage, error) {
+	var total usage
 	for _, pr := range entries {
 		processor, err := processorTime(pr.ProcessID())
 		if err != nil {
-			return sum, err
+			return total, err
 		}
 		resident, err := residentBytes(pr.ProcessID())
 		if err != nil {
-			return sum, err
+			return total, err
 		}
 		client, err := oper.New(oper.Options{Server: pr.Address, Token: token("bench"), Timeout: 5 * time.Second})
 		if err != nil {
-			return sum, err
+			return total, err
 		}
 		status, err := client.Status(context.Background())
 		client.Close()
 		if err != nil {
-			return sum, err
+			return total, err
 		}
-		sum.processor += processor
-		sum.resident += float64(resident)
-		sum.bytes += status.Peers.Sent + status.Peers.Received
+		total.processor += processor
+		total.resident += float64(resident)
+		total.bytes += status.Peers.Sent + status.Peers.Received
 	}
-	return sum, nil
+	return total, nil
 }
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -13,12 +13,12 @@
 
 type loadCommand struct {
 	Scenario    string        `long:"scenario" description:"scenario file" required:"yes"`
-	Addresses   []string      `long:"address" description:"address of an entry instance; give it once for each" required:"yes"`
-	Token       string        `long:"token" env:"SAILBENCH_TOKEN" description:"bearer token of all organisations; empty takes token-of-NAME"`
-	Seed        uint64        `long:"seed" description:"seed of the plan" default:"1"`
-	Time        time.Duration `long:"time" description:"length of the run; 0 takes the scenario's"`
-	Utilisation float64       `long:"utilisation" description:"offered work as a share of capacity; 0 takes the scenario's"`
-	NoLong      bool          `long:"no-long" description:"leave the long prompts out"`
+	Addresses   []string      `long:"address" description:"address of an entry instance; repeat the flag for several" required:"yes"`
+	Token       string        `long:"token" env:"SAILBENCH_TOKEN" description:"bearer token of all organisations; empty uses token-of-NAME"`
+	Seed        uint64        `long:"seed" description:"seed of the request plan" default:"1"`
+	Time        time.Duration `long:"time" description:"duration of the run; 0 uses the scenario's"`
+	Utilisation float64       `long:"utilisation" description:"offered load as a share of capacity; 0 uses the scenario's"`
+	NoLong      bool          `long:"no-long" description:"leave out the long prompts"`
 }
 
 // Execute implements flags.Commander.
@@ -32,7 +32,7 @@
 	if cmd.Time < 0 || cmd.Utilisation < 0 {
 		return tool.Usage(fmt.Errorf("bench: --time and --utilisation must not be below 0"))
 	}
-	overrideTime(sc, cmd.Time)
+	overrideDuration(sc, cmd.Time)
 	if cmd.Utilisation > 0 {
 		sc.Mix.Utilisation = cmd.Utilisation
 	}
@@ -49,20 +49,24 @@
 	return writeIndented(figuresOf(sm))
 }
 
-// overrideTime sets the length of a run in real time.
-func overrideTime(sc *load.Scenario, period time.Duration) {
+// overrideDuration sets the duration of a run in real time. 0 keeps the scenario's.
+func overrideDuration(sc *load.Scenario, period time.Duration) {
 	if period > 0 {
 		sc.Mix.Duration = decl.Duration(float64(period) * sc.Scale)
 	}
 }
 
-// summaryFigures is a summary as it is written to JSON.
+// summaryFigures is the JSON form of a load.Summary.
 type summaryFigures struct {
-	Classes       map[string]load.Figures
+	Classes map[string]load.Figures
+	// Organisations covers all completions of each organisation, unlike the Organisations of load.Summary, which covers only
+	// the short prompts.
 	Organisations map[string]load.Figures
-	LateSends     int64
-	// LateMax is the latest send, in milliseconds.
-	LateMax  float64
+	// LateSends counts the requests that were sent more than 10 ms after their planned time.
+	LateSends int64
+	// LateMax is the longest delay of a send after its planned time, in milliseconds.
+	LateMax float64
+	// Examples has an error text for some of the failed requests, by outcome.
 	Examples map[load.Outcome]string
 }
 
--- a/internal/bench/lock.go
+++ b/internal/bench/lock.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// lockTime is how long a file lock is kept before others get a turn.
-const lockTime = 150 * time.Second
+// lockHoldTime is how long a file lock is kept before it is released for other processes.
+const lockHoldTime = 150 * time.Second
 
-// fileLock keeps several measurers on one machine from disturbing each other. Without a path it does nothing.
+// fileLock is an advisory lock on a file. It keeps concurrent measurements on one machine from disturbing each other.
+// Without a path it does nothing.
 type fileLock struct {
-	path  string
-	file  *os.File
-	since time.Time
+	path       string
+	file       *os.File
+	acquiredAt time.Time
 }
 
-// hold takes the lock unless it is held already.
-func (fl *fileLock) hold() error {
+// acquire waits for the lock, unless it is held already.
+func (fl *fileLock) acquire() error {
 	if fl.path == "" || fl.file != nil {
 		return nil
 	}
@@ -30,13 +31,13 @@
 		return err
 	}
 	fl.file = file
-	fl.since = time.Now()
+	fl.acquiredAt = time.Now()
 	return nil
 }
 
-// yield gives the lock up if it was held for its time.
-func (fl *fileLock) yield() {
-	if fl.file != nil && time.Since(fl.since) > lockTime {
+// releaseIfExpired releases the lock if it has been held for longer than lockHoldTime.
+func (fl *fileLock) releaseIfExpired() {
+	if fl.file != nil && time.Since(fl.acquiredAt) > lockHoldTime {
 		fl.release()
 	}
 }
--- a/internal/bench/losses.go
+++ b/internal/bench/losses.go
@@ -11,8 +11,8 @@
 )
 
 type lossesCommand struct {
-	Span time.Duration `long:"span" description:"length of the spans of time that are shown" default:"2s"`
-	JSON string        `long:"json" description:"file for every loss as JSON; empty writes none"`
+	Span time.Duration `long:"span" description:"length of the time spans in the report" default:"2s"`
+	JSON string        `long:"json" description:"file to write every loss to as JSON; empty writes none"`
 	Args struct {
 		Logs []string `positional-arg-name:"LOG" required:"1" description:"log of one instance, named after it, or of several whose lines begin with the instance's name; - reads the standard input"`
 	} `positional-args:"yes"`
@@ -40,7 +40,7 @@
 	}
 	file, err := os.Open(path)
 	if err != nil {
-		return loss.Unreadable.Wrap(err, "bench: the log %s cannot be opened; name a file", path)
+		return loss.Unreadable.Wrap(err, "bench: cannot open the log %s; give the path of a readable file", path)
 	}
 	defer func() { _ = file.Close() }()
 	return logs.Read(strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)), file)
--- a/internal/bench/overhead.go
+++ b/internal/bench/overhead.go
@@ -28,30 +28,37 @@
 
 const (
 	overheadToken = "overhead"
-	// overheadAnswer is how many tokens a request of the latency part asks for.
-	overheadAnswer = 20
-	maxMicros      = 60_000_000
-	overheadDigits = 3
+	// latencyTokens is the number of tokens that a request of the latency measurement asks for.
+	latencyTokens = 20
+	// maxLatencyMicros is the longest time that the histograms can record, in microseconds.
+	maxLatencyMicros = 60_000_000
+	// histogramDigits is the number of significant digits of the histograms.
+	histogramDigits = 3
 )
 
 type overheadCommand struct {
-	Rate    float64       `long:"rate" description:"requests a second of the latency part, to each side" default:"200"`
-	Time    time.Duration `long:"time" description:"length of each part" default:"10s"`
-	Prompt  int           `long:"prompt" description:"prompt tokens" default:"1000"`
-	Streams int           `long:"streams" description:"streams at once of the throughput part" default:"64"`
-	Tokens  int           `long:"tokens" description:"tokens of each stream of the throughput part" default:"5000"`
-	JSON    string        `long:"json" description:"file for the figures as JSON; empty for none"`
+	Rate    float64       `long:"rate" description:"requests per second of the latency measurement, sent to the engine and to the instance each" default:"200"`
+	Time    time.Duration `long:"time" description:"duration of each measurement" default:"10s"`
+	Prompt  int           `long:"prompt" description:"length of a prompt in tokens" default:"1000"`
+	Streams int           `long:"streams" description:"concurrent streams of the throughput measurement" default:"64"`
+	Tokens  int           `long:"tokens" description:"tokens of each stream of the throughput measurement" default:"5000"`
+	JSON    string        `long:"json" description:"file to write the figures to as JSON; empty writes none"`
 }
 
-// overheadReport is what the command measured.
+// overheadReport holds the measurements of the command.
 type overheadReport struct {
-	// Direct and Through have the time to the first token, in microseconds.
+	// Direct and Through hold the times to the first token in microseconds: Direct those of requests sent straight to the
+	// engine, Through those of requests sent through the entry instance.
 	Direct, Through struct{ P50, P99, Requests int64 }
-	// AddedP50 and AddedP99 are the differences of the two, in microseconds.
-	AddedP50, AddedP99 int64
-	// DirectTokens and ThroughTokens are tokens a second over all streams.
-	DirectTokens, ThroughTokens float64
-	// Cores is the processor time that the entry instance spent a second in the throughput part.
+	// AddedP50 is Through.P50 less Direct.P50, in microseconds.
+	AddedP50 int64
+	// AddedP99 is Through.P99 less Direct.P99, in microseconds.
+	AddedP99 int64
+	// DirectTokens is the throughput of all streams from the engine, in tokens per second.
+	DirectTokens float64
+	// ThroughTokens is the throughput of all streams through the entry instance, in tokens per second.
+	ThroughTokens float64
+	// Cores is the mean CPU usage of the entry instance during the throughput measurement, in cores.
 	Cores float64
 }
 
@@ -62,7 +69,7 @@
 	}
 	ctx, stop := tool.Context()
 	defer stop()
-	server := &http.Server{Handler: http.HandlerFunc(emit), ReadHeaderTimeout: stopTime}
+	server := &http.Server{Handler: http.HandlerFunc(serveTokens), ReadHeaderTimeout: stopTime}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -94,11 +101,11 @@
 		return err
 	}
 	rp.Cores = (after - before).Seconds() / time.Since(began).Seconds()
-	return cmd.show(rp)
+	return cmd.write(rp)
 }
 
-// emit is an engine that answers at once and as fast as it can.
-func emit(w http.ResponseWriter, req *http.Request) {
+// serveTokens handles a completion like an engine that answers immediately and streams as fast as possible.
+func serveTokens(w http.ResponseWriter, req *http.Request) {
 	raw, err := io.ReadAll(req.Body)
 	if err != nil {
 		return
@@ -126,7 +133,7 @@
 	_ = out.Flush()
 }
 
-// startOverhead runs an instance before the engine at the address.
+// startOverhead starts an entry instance in front of the engine at the address.
 func startOverhead(ctx context.Context, fl *fleet.Fleet, engine string) (*fleet.Process, error) {
 	if err := fl.StartPlatform("--list-lag", "0s"); err != nil {
 		return nil, err
@@ -151,7 +158,7 @@
 	return inst, fleet.WaitReady(ctx, inst.Address)
 }
 
-// overheadClient sends to one side.
+// overheadClient sends requests to one address, either the engine's or the entry instance's.
 type overheadClient struct {
 	address string
 	http    *http.Client
@@ -161,9 +168,10 @@
 	return &overheadClient{address: address, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, ReadBufferSize: 64 << 10}}}
 }
 
+// dataField begins each line of a stream that carries a token.
 var dataField = []byte("data: {")
 
-// send reads an answer to its end; it returns the time to the first token and how many came.
+// send sends a request and reads the whole answer. It returns the time to the first token and the number of tokens.
 func (oc *overheadClient) send(ctx context.Context, raw []byte) (first time.Duration, tokens int64, err error) {
 	began := time.Now()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+oc.address+"/v1/completions", bytes.NewReader(raw))
@@ -200,13 +208,14 @@
 	return fmt.Appendf(nil, `{"model":"lyric","prompt":%q,"max_tokens":%d,"stream":true}`, prompt, tokens)
 }
 
-// latency sends to both sides in turn, each at the rate, in an open loop.
+// latency measures the time to the first token. It sends with both clients alternately, with each at the configured rate,
+// without waiting for earlier answers (open loop).
 func (cmd *overheadCommand) latency(ctx context.Context, rp *overheadReport, direct, through *overheadClient) {
-	raw := cmd.body(overheadAnswer)
+	raw := cmd.body(latencyTokens)
 	var mu sync.Mutex
 	times := map[*overheadClient]*hdrhistogram.Histogram{
-		direct:  hdrhistogram.New(1, maxMicros, overheadDigits),
-		through: hdrhistogram.New(1, maxMicros, overheadDigits),
+		direct:  hdrhistogram.New(1, maxLatencyMicros, histogramDigits),
+		through: hdrhistogram.New(1, maxLatencyMicros, histogramDigits),
 	}
 	var group sync.WaitGroup
 	began := time.Now()
@@ -237,7 +246,7 @@
 	return hist.ValueAtQuantile(50), hist.ValueAtQuantile(99), hist.TotalCount()
 }
 
-// throughput keeps the streams busy and returns the tokens a second.
+// throughput keeps the configured number of streams busy and returns the tokens per second.
 func (cmd *overheadCommand) throughput(ctx context.Context, side *overheadClient) float64 {
 	raw := cmd.body(cmd.Tokens)
 	counts := make(chan int64, cmd.Streams)
@@ -259,7 +268,7 @@
 	return float64(all) / time.Since(began).Seconds()
 }
 
-func (cmd *overheadCommand) show(rp *overheadReport) error {
+func (cmd *overheadCommand) write(rp *overheadReport) error {
 	fmt.Printf("%-22s %10s %10s %10s\n", "", "direct", "through", "added")
 	fmt.Printf("%-22s %8dus %8dus %8dus\n", "first token, p50", rp.Direct.P50, rp.Through.P50, rp.AddedP50)
 	fmt.Printf("%-22s %8dus %8dus %8dus\n", "first token, p99", rp.Direct.P99, rp.Through.P99, rp.AddedP99)
--- a/internal/bench/platform.go
+++ b/internal/bench/platform.go
@@ -10,10 +10,10 @@
 )
 
 type platformCommand struct {
-	Listen string        `long:"listen" env:"SAILBENCH_LISTEN" description:"address, host:port; port 0 takes a free one" default:"127.0.0.1:0"`
-	Lag    time.Duration `long:"list-lag" description:"how late the instance list shows a change" default:"1s"`
-	Writes float64       `long:"writes" description:"writes a second of the key-value service before it refuses; 0 is no bound" default:"0"`
-	Reads  float64       `long:"reads" description:"reads a second of the key-value service before it refuses; 0 is no bound" default:"0"`
+	Listen string        `long:"listen" env:"SAILBENCH_LISTEN" description:"address, host:port; port 0 picks a free one" default:"127.0.0.1:0"`
+	Lag    time.Duration `long:"list-lag" description:"delay after which the instance list shows a change" default:"1s"`
+	Writes float64       `long:"writes" description:"writes per second above which the key-value service refuses; 0 sets no limit" default:"0"`
+	Reads  float64       `long:"reads" description:"reads per second above which the key-value service refuses; 0 sets no limit" default:"0"`
 }
 
 // Execute implements flags.Commander.
--- a/internal/bench/policy.go
+++ b/internal/bench/policy.go
@@ -16,22 +16,22 @@
 )
 
 type policyCommand struct {
-	Scenarios []string `long:"scenario" description:"scenario file; give it once for each"`
-	Draw      int      `long:"draw" description:"so many deployments drawn by chance besides"`
+	Scenarios []string `long:"scenario" description:"scenario file; repeat the flag for several"`
+	Draw      int      `long:"draw" description:"number of randomly drawn deployments to add to the scenarios"`
 	From      uint64   `long:"from" description:"first seed of the drawn deployments" default:"1"`
-	Seeds     int      `long:"seeds" description:"runs of each scenario, with seeds from 1 on" default:"3"`
-	Tunings   []string `long:"tuning" description:"NAME={...}, a policy to compare with the first; give it once for each"`
-	Jobs      int      `long:"jobs" description:"runs at the same time; 0 takes half of the processors" default:"0"`
-	Classes   bool     `long:"classes" description:"show the classes of each scenario"`
-	Bound     bool     `long:"bound" description:"show what the same decisions earn where all is known at once, and what no policy earns more than"`
-	JSON      string   `long:"json" description:"file for all results as JSON; empty writes none"`
+	Seeds     int      `long:"seeds" description:"number of runs of each scenario, with seeds from 1" default:"3"`
+	Tunings   []string `long:"tuning" description:"NAME={...}, a policy to compare with the default one; repeat the flag for several"`
+	Jobs      int      `long:"jobs" description:"number of concurrent runs; 0 uses half of the CPUs" default:"0"`
+	Classes   bool     `long:"classes" description:"show the results of each class"`
+	Bound     bool     `long:"bound" description:"show what the same decisions earn with immediate knowledge of everything, and an upper bound for any policy"`
+	JSON      string   `long:"json" description:"file to write all results to as JSON; empty writes none"`
 }
 
-// trial is one policy.
+// trial is one of the policies that are compared.
 type trial struct {
 	Name   string
 	Tuning steer.Tuning
-	// Results holds the runs by scenario and seed.
+	// Results holds the results of the runs, indexed by scenario and seed.
 	Results [][]*model.Result
 }
 
@@ -63,7 +63,7 @@
 	for i, sc := range scenarios {
 		writeScenario(os.Stdout, sc.Name, i, trials, cmd.Classes)
 	}
-	writeLeads(os.Stdout, trials, len(scenarios))
+	writeDifferences(os.Stdout, trials, len(scenarios))
 	if cmd.Bound {
 		cmd.writeBounds(os.Stdout, scenarios, trials[0], jobs)
 	}
@@ -72,7 +72,7 @@
 
 func (cmd *policyCommand) read() ([]*model.Scenario, []*trial, error) {
 	if cmd.Seeds < 1 || cmd.Draw < 0 || len(cmd.Scenarios)+cmd.Draw == 0 {
-		return nil, nil, fmt.Errorf("bench: policy has %d seeds and nothing to play or less; give --seeds 1 or more, and a --scenario or --draw", cmd.Seeds)
+		return nil, nil, fmt.Errorf("bench: invalid --seeds (%d) or no scenario to simulate; give --seeds 1 or more, and a --scenario or --draw", cmd.Seeds)
 	}
 	var scenarios []*model.Scenario
 	for _, path := range cmd.Scenarios {
@@ -100,9 +100,10 @@
 	return scenarios, trials, nil
 }
 
-// writeBounds shows the worth earned of the worth owed beside what all-knowing decisions earn and what none can.
+// writeBounds prints the share of the value owed that the trial earns, the share that the same decisions earn with immediate
+// knowledge of everything, and the share that no policy can exceed.
 func (cmd *policyCommand) writeBounds(out io.Writer, scenarios []*model.Scenario, tr *trial, jobs int) {
-	type bounds struct{ earned, known, most float64 }
+	type bounds struct{ earned, known, limit float64 }
 	all := make([]bounds, len(scenarios)*cmd.Seeds)
 	var group errgroup.Group
 	group.SetLimit(jobs)
@@ -116,19 +117,19 @@
 		}
 	}
 	_ = group.Wait()
-	fmt.Fprintf(out, "%-26s %7s %10s %6s\n", "worth earned of that owed", "earned", "all known", "bound")
+	fmt.Fprintf(out, "%-26s %7s %10s %6s\n", "value earned of value owed", "earned", "all known", "bound")
 	for i, sc := range scenarios {
 		var sum bounds
-		for _, one := range all[i*cmd.Seeds : (i+1)*cmd.Seeds] {
-			sum.earned += one.earned / float64(cmd.Seeds)
-			sum.known += one.known / float64(cmd.Seeds)
-			sum.most += one.most / float64(cmd.Seeds)
+		for _, run := range all[i*cmd.Seeds : (i+1)*cmd.Seeds] {
+			sum.earned += run.earned / float64(cmd.Seeds)
+			sum.known += run.known / float64(cmd.Seeds)
+			sum.limit += run.limit / float64(cmd.Seeds)
 		}
-		fmt.Fprintf(out, "%-26s %7.3f %10.3f %6.3f\n", sc.Name, sum.earned, sum.known, sum.most)
+		fmt.Fprintf(out, "%-26s %7.3f %10.3f %6.3f\n", sc.Name, sum.earned, sum.known, sum.limit)
 	}
 }
 
-// writeScenario shows what each policy earned on one scenario.
+// writeScenario prints the mean results of each policy on one scenario.
 func writeScenario(out io.Writer, name string, index int, trials []*trial, classes bool) {
 	fmt.Fprintf(out, "%-14s %-18s %6s %6s %6s %8s %6s %8s %7s\n", name, "policy", "mark", "error", "whole", "windows", "class", "refused", "again")
 	for _, tr := range trials {
@@ -168,37 +169,38 @@
 			sum.P50 += cr.P50 / count
 			sum.P90 += cr.P90 / count
 		}
-		fmt.Fprintf(out, "  %-12s asked %5d in time %5d late %4d (%d by a pause) refused %4d failed %4d worth %.3f first event %.0f ms, %.0f ms in the worst tenth\n",
+		fmt.Fprintf(out, "  %-12s asked %5d in time %5d late %4d (%d by a pause) refused %4d failed %4d value %.3f first event %.0f ms, %.0f ms in the worst tenth\n",
 			results[0].Classes[i].Name, sum.Asked, sum.InTime, sum.Late, sum.Paused, sum.Refused, sum.Fail, sum.Worth, sum.P50, sum.P90)
 	}
 }
 
-// writeLeads shows what each policy earned more than the first, run by run over the same arrivals.
-func writeLeads(out io.Writer, trials []*trial, scenarios int) {
+// writeDifferences prints the difference in mark between each policy and the first one. It compares runs in pairs that
+// have the same arrivals.
+func writeDifferences(out io.Writer, trials []*trial, scenarios int) {
 	for _, tr := range trials[1:] {
-		var leads []float64
-		lost := 0
+		var diffs []float64
+		lower := 0
 		for i := range scenarios {
-			var own []float64
+			var runDiffs []float64
 			for seed, res := range tr.Results[i] {
-				own = append(own, res.Mark-trials[0].Results[i][seed].Mark)
+				runDiffs = append(runDiffs, res.Mark-trials[0].Results[i][seed].Mark)
 			}
-			lead, _ := meanAndError(own)
-			leads = append(leads, lead)
-			if lead < 0 {
-				lost++
+			diff, _ := meanAndError(runDiffs)
+			diffs = append(diffs, diff)
+			if diff < 0 {
+				lower++
 			}
 		}
-		mean, stderr := meanAndError(leads)
-		least, most := math.Inf(1), math.Inf(-1)
-		for _, lead := range leads {
-			least, most = min(least, lead), max(most, lead)
+		mean, stderr := meanAndError(diffs)
+		minDiff, maxDiff := math.Inf(1), math.Inf(-1)
+		for _, diff := range diffs {
+			minDiff, maxDiff = min(minDiff, diff), max(maxDiff, diff)
 		}
-		fmt.Fprintf(out, "%-18s leads %s by %+.4f (standard error %.4f), from %+.3f to %+.3f, behind on %d of %d\n", tr.Name, trials[0].Name, mean, stderr, least, most, lost, scenarios)
+		fmt.Fprintf(out, "%-18s minus %s: %+.4f (standard error %.4f), from %+.3f to %+.3f, lower on %d of %d\n", tr.Name, trials[0].Name, mean, stderr, minDiff, maxDiff, lower, scenarios)
 	}
 }
 
-// meanAndError returns the mean and its standard error, 0 for a single figure.
+// meanAndError returns the mean and its standard error, which is 0 for a single figure.
 func meanAndError(figures []float64) (mean, stderr float64) {
 	count := float64(len(figures))
 	for _, figure := range figures {
--- a/internal/bench/proc.go
+++ b/internal/bench/proc.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// clockTicks is the kernel's unit of processor time in /proc, a second's part.
-const clockTicks = 100
+// ticksPerSecond is the number of clock ticks per second in which /proc counts CPU time.
+const ticksPerSecond = 100
 
-// processorTime returns what a process has used so far, user and system together.
+// processorTime returns the CPU time that a process has used, user and system together.
 func processorTime(pid int) (time.Duration, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
 	}
-	// The name in brackets may hold spaces; user and system time are fields 14 and 15, the 12th and 13th behind it.
+	// The second field is the process name in parentheses, which may contain spaces. User and system time are fields 14 and 15
+	// of the line, the 12th and 13th after the name.
 	_, rest, _ := strings.Cut(string(raw), ") ")
 	fields := strings.Fields(rest)
 	if len(fields) < 13 {
-		return 0, fmt.Errorf("bench: /proc/%d/stat has an unknown form", pid)
+		return 0, fmt.Errorf("bench: /proc/%d/stat has an unknown format", pid)
 	}
 	var ticks int64
 	for _, field := range fields[11:13] {
@@ -31,10 +32,10 @@
 		}
 		ticks += value
 	}
-	return time.Duration(ticks) * time.Second / clockTicks, nil
+	return time.Duration(ticks) * time.Second / ticksPerSecond, nil
 }
 
-// residentBytes returns the memory that a process keeps in RAM.
+// residentBytes returns the resident memory of a process.
 func residentBytes(pid int) (int64, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -42,7 +43,7 @@
 	}
 	fields := strings.Fields(string(raw))
 	if len(fields) < 2 {
-		return 0, fmt.Errorf("bench: /proc/%d/statm has an unknown form", pid)
+		return 0, fmt.Errorf("bench: /proc/%d/statm has an unknown format", pid)
 	}
 	pages, err := strconv.ParseInt(fields[1], 10, 64)
 	return pages * int64(os.Getpagesize()), err
--- a/internal/bench/prove.go
+++ b/internal/bench/prove.go
@@ -14,17 +14,17 @@
 )
 
 type proveCommand struct {
-	Faults string        `long:"faults" description:"what to inject: names joined by + for faults together, by commas for runs in turn; all for each alone; pairs for each pair" default:"all"`
-	Seeds  uint64        `long:"seeds" description:"runs of each, with seeds from 1" default:"1"`
-	Rate   float64       `long:"rate" description:"requests a second" default:"80"`
-	Before time.Duration `long:"before" description:"load before the faults" default:"3s"`
-	Hold   time.Duration `long:"hold" description:"how long faults that last are held" default:"4s"`
-	After  time.Duration `long:"after" description:"load after the faults" default:"5s"`
-	JSON   string        `long:"json" description:"file for the reports as JSON; empty for none"`
-	Logs   bool          `long:"logs" description:"show what the processes log"`
+	Faults string        `long:"faults" description:"faults to inject: names joined by + are injected together, names joined by commas in separate runs; all runs each fault alone, pairs each pair" default:"all"`
+	Seeds  uint64        `long:"seeds" description:"number of runs for each, with seeds from 1" default:"1"`
+	Rate   float64       `long:"rate" description:"requests per second" default:"80"`
+	Before time.Duration `long:"before" description:"duration of the load before the faults" default:"3s"`
+	Hold   time.Duration `long:"hold" description:"how long lasting faults are held" default:"4s"`
+	After  time.Duration `long:"after" description:"duration of the load after the faults" default:"5s"`
+	JSON   string        `long:"json" description:"file to write the reports to as JSON; empty writes none"`
+	Logs   bool          `long:"logs" description:"print the logs of the processes"`
 }
 
-var errViolations = errors.New("bench: something that must always hold did not; see the table")
+var errViolations = errors.New("bench: an invariant was violated; see the lines marked BROKEN")
 
 // Execute implements flags.Commander.
 func (cmd *proveCommand) Execute(_ []string) error {
@@ -51,7 +51,7 @@
 				return err
 			}
 			progress("")
-			show(rp)
+			printReport(rp)
 			reports = append(reports, rp)
 			violated = violated || len(rp.Violations) > 0
 		}
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// runs lists which faults are injected together, run by run.
+// runs returns the faults that are injected together in each run.
 func (cmd *proveCommand) runs() [][]string {
 	names := proof.Names()
 	var runs [][]string
@@ -75,9 +75,9 @@
 			runs = append(runs, []string{name})
 		}
 	case "pairs":
-		for i, one := range names {
-			for _, two := range names[i+1:] {
-				runs = append(runs, []string{one, two})
+		for i, a := range names {
+			for _, b := range names[i+1:] {
+				runs = append(runs, []string{a, b})
 			}
 		}
 	default:
@@ -88,7 +88,7 @@
 	return runs
 }
 
-func show(rp *proof.Report) {
+func printReport(rp *proof.Report) {
 	fmt.Printf("%-40s %4d %8d %6d %9s %9s %9s %9s  %s\n", strings.Join(rp.Faults, "+"), rp.Seed, rp.Requests, len(rp.Violations),
 		rp.ShortBefore.Round(time.Millisecond), rp.ShortDuring.Round(time.Millisecond), rp.ShortAfter.Round(time.Millisecond), rp.Recovery, rp.Seen())
 	for _, note := range rp.Notes {
--- a/internal/bench/proxy.go
+++ b/internal/bench/proxy.go
@@ -10,8 +10,8 @@
 
 type proxyCommand struct {
 	Network string `long:"network" env:"SAILBENCH_NETWORK" description:"tcp or udp" default:"tcp"`
-	Listen  string `long:"listen" env:"SAILBENCH_LISTEN" description:"address, host:port; port 0 takes a free one" default:"127.0.0.1:0"`
-	Target  string `long:"target" env:"SAILBENCH_TARGET" description:"address that traffic goes on to, host:port" required:"yes"`
+	Listen  string `long:"listen" env:"SAILBENCH_LISTEN" description:"address, host:port; port 0 picks a free one" default:"127.0.0.1:0"`
+	Target  string `long:"target" env:"SAILBENCH_TARGET" description:"address to forward traffic to, host:port" required:"yes"`
 	Control string `long:"control" env:"SAILBENCH_CONTROL" description:"address of the API that sets faults: PUT and GET /faults, POST /silence, POST /cut, GET /counts" default:"127.0.0.1:0"`
 }
 
--- a/internal/bench/rig.go
+++ b/internal/bench/rig.go
@@ -20,18 +20,19 @@
 )
 
 const (
-	// readyTime bounds the start of a fleet.
+	// readyTime bounds the time until all instances of a fleet are ready.
 	readyTime = 30 * time.Second
-	// settleTime is how long engines may take to free their memory after a run.
+	// settleTime bounds the time in which engines free their memory after a run.
 	settleTime = 10 * time.Second
-	// loadPeriod is the time between load reports at time scale 1.
+	// loadPeriod is the time between load reports at a time scale of 1.
 	loadPeriod = decl.Duration(time.Second)
-	// operatorName and operatorToken read the status of instances.
-	operatorName  = "sailbench"
+	// operatorName is the operator that reads the status of instances.
+	operatorName = "sailbench"
+	// operatorToken is the token of that operator.
 	operatorToken = "token-of-the-operator"
 )
 
-// rig is a deployment of real processes on loopback.
+// rig is a deployment of real processes on loopback, on which an experiment runs.
 type rig struct {
 	sc       *load.Scenario
 	fleet    *fleet.Fleet
@@ -42,7 +43,8 @@
 	policy   string
 	// loadPeriod is the time between load reports in the run.
 	loadPeriod time.Duration
-	replaced   int
+	// replaced counts the entry instances that were replaced.
+	replaced int
 }
 
 // newRig starts the scenario's deployment under the variant's policy.
@@ -80,8 +82,8 @@
 			return err
 		}
 	}
-	rg.balance()
-	// Load reports and cache events of all engines arrive before the first request.
+	rg.updateBalancer()
+	// Let the load reports and cache events of all engines arrive before the first request.
 	time.Sleep(time.Second)
 	return nil
 }
@@ -140,8 +142,8 @@
 	return nil
 }
 
-// balance lets the balancer know the instances.
-func (rg *rig) balance() {
+// updateBalancer sets the balancer's addresses to those of the current entry instances.
+func (rg *rig) updateBalancer() {
 	var addresses []string
 	for _, pr := range rg.entries {
 		addresses = append(addresses, pr.Address)
@@ -188,7 +190,7 @@
 	return cfg
 }
 
-// run sends the plan at the deployment.
+// run sends the planned requests to the deployment.
 func (rg *rig) run(ctx context.Context, plan []load.Planned) []load.Record {
 	runner := &load.Runner{Scenario: rg.sc, Balancer: &rg.balancer, Tokens: map[string]string{}, HTTP: load.Client()}
 	defer runner.HTTP.CloseIdleConnections()
@@ -198,14 +200,15 @@
 	return runner.Run(ctx, plan)
 }
 
-// engineState reads one engine's true state.
+// engineState returns the actual state of one engine, as opposed to its delayed load reports.
 func engineState(ctx context.Context, address string) (stand.State, error) {
 	var st stand.State
 	err := getJSON(ctx, "http://"+address+stand.PathState, &st)
 	return st, err
 }
 
-// peerBytes is what the instances said to each other since their start, counted at both ends.
+// peerBytes returns the bytes that the instances have exchanged since their start. Each byte is counted at the sender and at
+// the receiver.
 func (rg *rig) peerBytes(ctx context.Context) (int64, error) {
 	var total int64
 	for _, pr := range rg.entries {
@@ -232,8 +235,8 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// truth sums up the true states of all engines.
-func (rg *rig) truth(ctx context.Context) (stand.State, error) {
+// engineTotals adds up the actual states of all engines.
+func (rg *rig) engineTotals(ctx context.Context) (stand.State, error) {
 	var total stand.State
 	for _, pr := range rg.engines {
 		st, err := engineState(ctx, pr.Address)
@@ -247,11 +250,11 @@
 	return total, nil
 }
 
-// settled waits until the engines hold nothing, or the time for it is over, and returns their state.
-func (rg *rig) settled(ctx context.Context) (stand.State, error) {
+// waitIdle waits until the engines hold no tokens, or until settleTime has passed, and returns the sum of their states.
+func (rg *rig) waitIdle(ctx context.Context) (stand.State, error) {
 	end := time.Now().Add(settleTime)
 	for {
-		st, err := rg.truth(ctx)
+		st, err := rg.engineTotals(ctx)
 		if err != nil || st.UsedTokens == 0 || time.Now().After(end) {
 			return st, err
 		}
@@ -259,8 +262,8 @@
 	}
 }
 
-// doubled counts the keys that plain services ran more than once.
-func (rg *rig) doubled(ctx context.Context) (int, error) {
+// countDuplicates counts the idempotency keys that plain services executed more than once.
+func (rg *rig) countDuplicates(ctx context.Context) (int, error) {
 	seen := map[string]int{}
 	doubled := 0
 	for _, pr := range rg.services {
--- a/internal/bench/service.go
+++ b/internal/bench/service.go
@@ -11,7 +11,7 @@
 
 type serviceCommand struct {
 	standinOptions
-	Delay time.Duration `long:"delay" description:"time one call takes" default:"5ms"`
+	Delay time.Duration `long:"delay" description:"duration of one call" default:"5ms"`
 }
 
 // Execute implements flags.Commander.
--- a/internal/bench/slopes.go
+++ b/internal/bench/slopes.go
@@ -12,16 +12,16 @@
 )
 
 func addSlopes(parser *flags.Parser) {
-	slopes, err := parser.AddCommand("slopes", "Measure how costs grow, for docs/CAPACITY.md", "", &struct{}{})
+	slopes, err := parser.AddCommand("slopes", "Measure how costs grow with the size of a deployment, for docs/CAPACITY.md", "", &struct{}{})
 	if err != nil {
 		panic(err)
 	}
-	add(slopes, "state", "Measure the reducer and the configuration in this process", &stateSlopesCommand{})
-	add(slopes, "store", "Count the calls of a fleet of real processes to the key-value service", &storeSlopesCommand{})
-	add(slopes, "fleet", "Measure what an idle instance costs in fleets of real processes", &fleetSlopesCommand{})
-	add(slopes, "network", "Measure the bytes of load reports and of the instance list", &networkSlopesCommand{})
-	add(slopes, "permits", "Measure the decisions and messages of a pool's coordinator", &permitSlopesCommand{})
-	add(slopes, "table", "Write docs/CAPACITY.md from the measurements", &tableCommand{})
+	addCommand(slopes, "state", "Measure the reducer and the configuration in this process", &stateSlopesCommand{})
+	addCommand(slopes, "store", "Count the calls of a fleet of real processes to the key-value service", &storeSlopesCommand{})
+	addCommand(slopes, "fleet", "Measure what an idle instance costs in fleets of real processes", &fleetSlopesCommand{})
+	addCommand(slopes, "network", "Measure the bytes of load reports and of the instance list", &networkSlopesCommand{})
+	addCommand(slopes, "permits", "Measure the decisions and messages of the coordinator of a pool", &permitSlopesCommand{})
+	addCommand(slopes, "table", "Write docs/CAPACITY.md from the measurements", &tableCommand{})
 }
 
 type stateSlopesCommand struct {
@@ -61,7 +61,7 @@
 	return addSeries(cmd.Out, series)
 }
 
-// addSeries puts the series into a file of measurements, which is made if it is not there, and prints their lines.
+// addSeries puts the series into a file of measurements, which it creates if necessary, and prints the line fitted to each.
 func addSeries(path string, series []slope.Series) error {
 	var ms slope.Measured
 	if _, err := os.Stat(path); err == nil {
@@ -73,7 +73,7 @@
 	for _, sr := range series {
 		ms.Put(sr)
 		line := sr.Fit()
-		fmt.Printf("%-30s %12.4g %s + %.4g a %s\n", sr.Name, line.Intercept, sr.Unit, line.Slope, sr.Variable)
+		fmt.Printf("%-30s %12.4g %s + %.4g per %s\n", sr.Name, line.Intercept, sr.Unit, line.Slope, sr.Variable)
 	}
 	return ms.Write(path)
 }
--- a/internal/bench/slopestable.go
+++ b/internal/bench/slopestable.go
@@ -9,7 +9,7 @@
 	"dandelionsail.example/dandelionsail/internal/slope"
 )
 
-// Marks between which the tables stand in the page.
+// Markers between which the tables stand in the page.
 const (
 	tablesBegin = "<!-- tables: written by sailbench slopes table -->\n"
 	tablesEnd   = "<!-- end of tables -->\n"
@@ -17,7 +17,7 @@
 
 type tableCommand struct {
 	In  string `long:"in" description:"file of measurements" default:"docs/capacity/measured.json"`
-	Out string `long:"out" description:"page whose tables are written anew" default:"docs/CAPACITY.md"`
+	Out string `long:"out" description:"page whose tables are replaced" default:"docs/CAPACITY.md"`
 }
 
 // Execute implements flags.Commander.
@@ -28,12 +28,12 @@
 	}
 	page, err := os.ReadFile(cmd.Out)
 	if err != nil {
-		return fmt.Errorf("bench: --out %s cannot be read: %w", cmd.Out, err)
+		return fmt.Errorf("bench: --out %s cannot be read; check the path and its permissions: %w", cmd.Out, err)
 	}
 	before, rest, found := strings.Cut(string(page), tablesBegin)
 	_, after, closed := strings.Cut(rest, tablesEnd)
 	if !found || !closed {
-		return fmt.Errorf("bench: %s lacks the marks of the tables; put back %q and %q", cmd.Out, tablesBegin, tablesEnd)
+		return fmt.Errorf("bench: %s lacks the markers of the tables; put back %q and %q", cmd.Out, tablesBegin, tablesEnd)
 	}
 	var tables bytes.Buffer
 	fmt.Fprintf(&tables, "Measured on %s.\n\n", ms.Machine)
--- a/internal/bench/standin.go
+++ b/internal/bench/standin.go
@@ -13,16 +13,16 @@
 	"dandelionsail.example/dandelionsail/internal/tool"
 )
 
-// standinOptions are common to the stand-ins that the platform lists.
+// standinOptions are the settings common to the stand-ins that the platform's instance list contains.
 type standinOptions struct {
-	Name          string `long:"name" env:"SAILBENCH_NAME" description:"name in the platform's list" required:"yes"`
-	Service       string `long:"service" env:"SAILBENCH_SERVICE" description:"service of which this is a replica" required:"yes"`
+	Name          string `long:"name" env:"SAILBENCH_NAME" description:"name in the platform's instance list" required:"yes"`
+	Service       string `long:"service" env:"SAILBENCH_SERVICE" description:"service that this replica belongs to" required:"yes"`
 	FailureDomain string `long:"failure-domain" env:"SAILBENCH_FAILURE_DOMAIN" description:"failure domain" default:"a"`
-	Listen        string `long:"listen" env:"SAILBENCH_LISTEN" description:"address, host:port; port 0 takes a free one" default:"127.0.0.1:0"`
-	Platform      string `long:"platform" env:"SAILBENCH_PLATFORM" description:"address of the platform that lists this replica; empty lists it nowhere"`
+	Listen        string `long:"listen" env:"SAILBENCH_LISTEN" description:"address, host:port; port 0 picks a free one" default:"127.0.0.1:0"`
+	Platform      string `long:"platform" env:"SAILBENCH_PLATFORM" description:"address of the platform at which to register; empty registers nowhere"`
 }
 
-// check names the flag, its value and what is allowed.
+// check validates the addresses. The error names the flag, its value and what is allowed.
 func (opts *standinOptions) check() error {
 	for flag, address := range map[string]string{"listen": opts.Listen, "platform": opts.Platform} {
 		if address == "" && flag == "platform" {
@@ -35,10 +35,11 @@
 	return nil
 }
 
-// stopTime bounds how long a stand-in waits for its connections at a stop.
+// stopTime bounds how long a stand-in waits for open connections when it stops.
 const stopTime = time.Second
 
-// serve runs a handler and a background part until a signal ends them.
+// serve prints the address that it listens on and calls listening with it. It then serves the handler and runs a background
+// function until SIGINT or SIGTERM.
 func serve(address string, handler http.Handler, listening func(address string) error, run func(context.Context) error) error {
 	ctx, stop := tool.Context()
 	defer stop()
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// register asks the platform to list the replica.
+// register adds the replica to the platform's instance list.
 func (opts *standinOptions) register(address string) error {
 	if opts.Platform == "" {
 		return nil
--- a/internal/bench/storeslopes.go
+++ b/internal/bench/storeslopes.go
@@ -20,27 +20,30 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// storeSlopesCommand counts what a fleet of real processes asks of the key-value service.
+// storeSlopesCommand counts the calls of a fleet of real processes to the key-value service.
 type storeSlopesCommand struct {
 	Out       string        `long:"out" description:"file of measurements to add to" default:"docs/capacity/measured.json"`
-	Instances []int         `long:"instances" description:"size of a fleet; give it several times" default:"3" default:"12" default:"30"`
-	Domains   []int         `long:"failure-domains" description:"failure domains of an idle fleet; give it several times" default:"1" default:"3" default:"7"`
-	Claims    []int         `long:"claims" description:"keyed updates a second, sent to the smallest fleet; give it several times" default:"25" default:"100" default:"200" default:"400"`
-	Rate      float64       `long:"rate" description:"patches a second" default:"2"`
-	Time      time.Duration `long:"time" description:"time of each measurement" default:"12s"`
+	Instances []int         `long:"instances" description:"number of instances in a fleet; repeat the flag for several fleets" default:"3" default:"12" default:"30"`
+	Domains   []int         `long:"failure-domains" description:"number of failure domains of an idle fleet; repeat the flag for several fleets" default:"1" default:"3" default:"7"`
+	Claims    []int         `long:"claims" description:"keyed updates per second, sent to the smallest fleet; repeat the flag for several rates" default:"25" default:"100" default:"200" default:"400"`
+	Rate      float64       `long:"rate" description:"patches per second" default:"2"`
+	Time      time.Duration `long:"time" description:"duration of each measurement" default:"12s"`
 }
 
-// storeRun is one fleet's figures.
+// storeRun holds the measurements of one fleet.
 type storeRun struct {
 	Instances int
-	// Idle has the calls a second by kind, APatch the calls by kind for each patch, its submitter's among them.
-	Idle     map[string]float64
-	APatch   map[string]float64
+	// Idle is the number of calls per second of the idle fleet, by kind.
+	Idle map[string]float64
+	// PerPatch is the number of calls that each patch adds, by kind, including those of its submitter.
+	PerPatch map[string]float64
+	// Watching is the number of open watches.
 	Watching int64
-	// Median and Worst are the times from the submission of a patch until it was in force on all instances.
+	// Median is the median time from the submission of a patch until it is in force on all instances.
 	Median time.Duration
-	Worst  time.Duration
-	// Late counts patches not in force everywhere at the end of the measurement.
+	// Worst is the longest such time.
+	Worst time.Duration
+	// Late counts the patches that are not in force on all instances at the end of the measurement.
 	Late int
 }
 
@@ -53,7 +56,7 @@
 			return err
 		}
 		fmt.Printf("%3d instances: idle a second %v, a patch %v, %d watches; in force everywhere: median %s, worst %s, %d late\n",
-			run.Instances, rounded(run.Idle), rounded(run.APatch), run.Watching, run.Median, run.Worst, run.Late)
+			run.Instances, rounded(run.Idle), rounded(run.PerPatch), run.Watching, run.Median, run.Worst, run.Late)
 		runs = append(runs, run)
 	}
 	idle, err := cmd.measureIdle()
@@ -64,16 +67,16 @@
 	if err != nil {
 		return err
 	}
-	return addSeries(cmd.Out, append(append(series(runs), idle...), claims))
+	return addSeries(cmd.Out, append(append(configSeries(runs), idle...), claims))
 }
 
-// fleetDomains is how many failure domains a fleet has unless they are what is varied.
+// fleetDomains is the number of failure domains of a fleet in measurements that do not vary it.
 const fleetDomains = 3
 
-// storeCommand is the command that the series name.
+// storeCommand is the command that the series record as their source.
 const storeCommand = "sailbench slopes store"
 
-// measureIdle counts what idle fleets call, each with three instances and one pool of engines a failure domain.
+// measureIdle counts the calls of idle fleets with three instances and one pool of engines in each failure domain.
 func (cmd *storeSlopesCommand) measureIdle() ([]slope.Series, error) {
 	reads := slope.Series{Name: slope.ConfigReads, Unit: "calls/s", Variable: "FailureDomains", Command: storeCommand}
 	leases := slope.Series{Name: slope.LeaseWrites, Unit: "calls/s", Variable: "Pools", Command: storeCommand}
@@ -82,7 +85,7 @@
 		if err != nil {
 			return nil, err
 		}
-		rates, watching, err := cmd.during(fl, func() error { time.Sleep(cmd.Time); return nil })
+		rates, watching, err := cmd.measureCalls(fl, func() error { time.Sleep(cmd.Time); return nil })
 		fl.Close()
 		if err != nil {
 			return nil, err
@@ -103,29 +106,31 @@
 	return text
 }
 
-func series(runs []storeRun) []slope.Series {
+// configSeries returns the writes per patch and the median time until a patch is in force, each by the number of instances.
+func configSeries(runs []storeRun) []slope.Series {
 	writes := slope.Series{Name: slope.ConfigWrites, Unit: "calls", Variable: "Instances", Command: storeCommand}
-	force := slope.Series{Name: "Config.InForce", Unit: "ns", Variable: "Instances", Command: storeCommand}
+	inForce := slope.Series{Name: "Config.InForce", Unit: "ns", Variable: "Instances", Command: storeCommand}
 	for _, run := range runs {
 		size := float64(run.Instances)
-		writes.Samples = append(writes.Samples, slope.Sample{Size: size, Value: run.APatch["Txn"]})
-		force.Samples = append(force.Samples, slope.Sample{Size: size, Value: float64(run.Median)})
+		writes.Samples = append(writes.Samples, slope.Sample{Size: size, Value: run.PerPatch["Txn"]})
+		inForce.Samples = append(inForce.Samples, slope.Sample{Size: size, Value: float64(run.Median)})
 	}
-	return []slope.Series{writes, force}
+	return []slope.Series{writes, inForce}
 }
 
-// enforced collects from the instances' logs when each version came into force.
-type enforced struct {
+// activationLog collects from the logs of the instances when each version of the configuration came into force.
+type activationLog struct {
 	mu sync.Mutex
-	// last is when the version came into force last, seen counts the instances.
-	last map[int64]time.Time
-	seen map[int64]int
+	// lastAt is when a version came into force on the last instance so far.
+	lastAt map[int64]time.Time
+	// instances counts the instances on which a version is in force.
+	instances map[int64]int
 }
 
-// Write implements io.Writer; it takes whole lines, as the logger writes them.
-func (ef *enforced) Write(part []byte) (int, error) {
-	ef.mu.Lock()
-	defer ef.mu.Unlock()
+// Write implements io.Writer. It expects whole lines, which is how the logger writes them.
+func (al *activationLog) Write(part []byte) (int, error) {
+	al.mu.Lock()
+	defer al.mu.Unlock()
 	for line := range bytes.Lines(part) {
 		var entry struct {
 			Time    time.Time `json:"time"`
@@ -135,9 +140,9 @@
 		if json.Unmarshal(line, &entry) != nil || entry.Message != "configuration in force" {
 			continue
 		}
-		ef.seen[entry.Version]++
-		if entry.Time.After(ef.last[entry.Version]) {
-			ef.last[entry.Version] = entry.Time
+		al.instances[entry.Version]++
+		if entry.Time.After(al.lastAt[entry.Version]) {
+			al.lastAt[entry.Version] = entry.Time
 		}
 	}
 	return len(part), nil
@@ -145,44 +150,45 @@
 
 func (cmd *storeSlopesCommand) measure(count int) (storeRun, error) {
 	run := storeRun{Instances: count}
-	ef := &enforced{last: map[int64]time.Time{}, seen: map[int64]int{}}
-	fl, _, err := cmd.start(count, fleetDomains, ef)
+	al := &activationLog{lastAt: map[int64]time.Time{}, instances: map[int64]int{}}
+	fl, _, err := cmd.start(count, fleetDomains, al)
 	if err != nil {
 		return run, err
 	}
 	defer fl.Close()
-	if run.Idle, run.Watching, err = cmd.during(fl, func() error { time.Sleep(cmd.Time); return nil }); err != nil {
+	if run.Idle, run.Watching, err = cmd.measureCalls(fl, func() error { time.Sleep(cmd.Time); return nil }); err != nil {
 		return run, err
 	}
 	submitted := map[int64]time.Time{}
 	began := time.Now()
-	calls, _, err := cmd.during(fl, func() error { return cmd.patch(fl, submitted) })
+	calls, _, err := cmd.measureCalls(fl, func() error { return cmd.submitPatches(fl, submitted) })
 	if err != nil {
 		return run, err
 	}
-	run.APatch = map[string]float64{}
+	run.PerPatch = map[string]float64{}
 	for kind, rate := range calls {
-		run.APatch[kind] = (rate - run.Idle[kind]) * time.Since(began).Seconds() / float64(len(submitted))
+		run.PerPatch[kind] = (rate - run.Idle[kind]) * time.Since(began).Seconds() / float64(len(submitted))
 	}
-	// The last patch has the time that the aim allows.
+	// Give the last patch as much time to come into force as the target allows.
 	time.Sleep(inForceTime)
-	run.times(ef, submitted)
+	run.setDelays(al, submitted)
 	return run, nil
 }
 
-// inForceTime is the longest that a patch may take to be in force everywhere.
+// inForceTime is the longest time that a patch may take until it is in force on all instances.
 const inForceTime = 11 * time.Second
 
-func (run *storeRun) times(ef *enforced, submitted map[int64]time.Time) {
-	ef.mu.Lock()
-	defer ef.mu.Unlock()
+// setDelays computes Median, Worst and Late from the times at which versions were submitted and came into force.
+func (run *storeRun) setDelays(al *activationLog, submitted map[int64]time.Time) {
+	al.mu.Lock()
+	defer al.mu.Unlock()
 	var times []time.Duration
 	for version, at := range submitted {
-		if ef.seen[version] < run.Instances {
+		if al.instances[version] < run.Instances {
 			run.Late++
 			continue
 		}
-		times = append(times, max(0, ef.last[version].Sub(at)))
+		times = append(times, max(0, al.lastAt[version].Sub(at)))
 	}
 	if len(times) > 0 {
 		slices.Sort(times)
@@ -190,10 +196,10 @@
 	}
 }
 
-// start runs a fleet with a replica of a plain service and one of a model service in each failure domain.
+// start starts a fleet with one replica of a plain service and one of a model service in each failure domain.
 func (cmd *storeSlopesCommand) start(count, domains int, logs io.Writer) (*fleet.Fleet, []*fleet.Process, error) {
 	fl := &fleet.Fleet{Logs: logs}
-	entries, err := startAll(fl, count, domains)
+	entries, err := startFleet(fl, count, domains)
 	if err != nil {
 		fl.Close()
 		return nil, nil, err
@@ -201,7 +207,7 @@
 	return fl, entries, nil
 }
 
-func startAll(fl *fleet.Fleet, count, domains int) ([]*fleet.Process, error) {
+func startFleet(fl *fleet.Fleet, count, domains int) ([]*fleet.Process, error) {
 	if err := fl.StartPlatform("--list-lag", "200ms"); err != nil {
 		return nil, err
 	}
@@ -231,7 +237,7 @@
 			return nil, err
 		}
 	}
-	// Every instance knows the others and its part by then, and the engines have their version.
+	// By then, every instance knows the others and its share of the work, and the engines have loaded their model version.
 	time.Sleep(8 * time.Second)
 	return entries, nil
 }
@@ -247,8 +253,8 @@
 	return conf.Seed(context.Background(), fl.Platform.Address, &cfg)
 }
 
-// during returns the calls a second by kind while act runs, and the watches waiting after it.
-func (cmd *storeSlopesCommand) during(fl *fleet.Fleet, act func() error) (map[string]float64, int64, error) {
+// measureCalls returns the calls per second by kind while act runs, and the number of watches that are open afterwards.
+func (cmd *storeSlopesCommand) measureCalls(fl *fleet.Fleet, act func() error) (map[string]float64, int64, error) {
 	before, err := storeCalls(fl)
 	if err != nil {
 		return nil, 0, err
@@ -278,8 +284,8 @@
 	return calls, json.NewDecoder(resp.Body).Decode(&calls)
 }
 
-// patch submits patches at the rate and notes when each was sent.
-func (cmd *storeSlopesCommand) patch(fl *fleet.Fleet, submitted map[int64]time.Time) error {
+// submitPatches submits patches at the configured rate and records in submitted when each version was sent.
+func (cmd *storeSlopesCommand) submitPatches(fl *fleet.Fleet, submitted map[int64]time.Time) error {
 	client := store.New(fl.Platform.Address)
 	defer client.Close()
 	lg := conf.New(client)
@@ -301,7 +307,7 @@
 	return nil
 }
 
-// measureClaims sends keyed updates at rising rates to the smallest fleet and counts the writes.
+// measureClaims sends keyed updates to the smallest fleet at each of the rates and counts the writes.
 func (cmd *storeSlopesCommand) measureClaims() (slope.Series, error) {
 	sr := slope.Series{Name: slope.ClaimWrites, Unit: "calls/s", Variable: "ClaimsPerSecond", Command: storeCommand}
 	fl, entries, err := cmd.start(slices.Min(cmd.Instances), fleetDomains, nil)
@@ -311,7 +317,7 @@
 	defer fl.Close()
 	for _, rate := range cmd.Claims {
 		var done, failed int
-		rates, _, err := cmd.during(fl, func() error {
+		rates, _, err := cmd.measureCalls(fl, func() error {
 			done, failed = sendClaims(entries, rate, cmd.Time)
 			return nil
 		})
@@ -324,8 +330,9 @@
 	return sr, nil
 }
 
-// sendClaims sends updates, each under a key of its own, at the rate for the time. It returns how many were answered.
-func sendClaims(entries []*fleet.Process, rate int, lasts time.Duration) (done, failed int) {
+// sendClaims sends updates at the rate for the period, each under its own key. It returns how many were answered with 200
+// and how many were not.
+func sendClaims(entries []*fleet.Process, rate int, period time.Duration) (done, failed int) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	defer client.CloseIdleConnections()
 	var mu sync.Mutex
@@ -333,7 +340,7 @@
 	ticker := time.NewTicker(time.Second / time.Duration(rate))
 	defer ticker.Stop()
 	began := time.Now()
-	for number := 0; time.Since(began) < lasts; number++ {
+	for number := 0; time.Since(began) < period; number++ {
 		<-ticker.C
 		caller := &load.Caller{Address: entries[number%len(entries)].Address, Token: token("parish"), HTTP: client}
 		header := http.Header{"Idempotency-Key": {fmt.Sprintf("%d-%d", began.UnixNano(), number)}}
--- a/internal/bench/variants.go
+++ b/internal/bench/variants.go
@@ -12,16 +12,18 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// ownPolicy is the project's own; the others are baselines.
+// ownPolicy is the project's own policy; the others are baselines.
 const ownPolicy = "dandelionsail"
 
-// The flood: one organisation of middling size at ten times its share.
+// The flood experiment has one organisation of medium size send ten times its share.
 const (
-	floodFactor       = 10
+	// floodFactor multiplies the organisation's share of the load.
+	floodFactor = 10
+	// floodOrganisation is the index of the organisation in the scenario.
 	floodOrganisation = 4
 )
 
-// variants returns the lines of the named experiment.
+// variants returns the variants that the named experiment compares.
 func (cmd *experimentCommand) variants() ([]variant, error) {
 	builders := map[string]func(read func(string) *load.Scenario) []variant{
 		"sreekovil":   func(read func(string) *load.Scenario) []variant { return cmd.mixes(read, "sreekovil") },
@@ -43,13 +45,13 @@
 			failed = err
 			return &load.Scenario{}
 		}
-		overrideTime(sc, cmd.Time)
+		overrideDuration(sc, cmd.Time)
 		return sc
 	})
 	return variants, failed
 }
 
-// policies compares the policies on one scenario.
+// policies returns one variant of a scenario for each policy to compare.
 func (cmd *experimentCommand) policies(read func(string) *load.Scenario, name string, withLong bool) []variant {
 	var variants []variant
 	for _, policy := range cmd.Policies {
@@ -58,15 +60,15 @@
 	return variants
 }
 
-// mixes compares the policies with the long prompts and the project's own without them: the same other requests at
-// the same times.
+// mixes compares the policies with long prompts, and adds the project's own policy without them. The other requests and
+// their times are the same with and without long prompts.
 func (cmd *experimentCommand) mixes(read func(string) *load.Scenario, name string) []variant {
 	variants := cmd.policies(read, name, true)
 	return append(variants, variant{Name: ownPolicy + ", no long prompts", scenario: read(name), policy: ownPolicy})
 }
 
-// sundarban compares the policies on the whole mix, and on the mix whose longest prompts fit one engine: the baselines
-// cannot serve longer ones, so that on the whole mix their engines have less to do.
+// sundarban compares the policies on the whole mix, and on the mix limited to prompts that fit into one engine. The
+// baselines cannot serve longer prompts, so that on the whole mix their engines have less work.
 func (cmd *experimentCommand) sundarban(read func(string) *load.Scenario) []variant {
 	variants := cmd.policies(read, "sundarban", true)
 	for _, va := range cmd.policies(read, "sundarban", true) {
@@ -78,8 +80,9 @@
 	return variants
 }
 
+// flood compares the policies with and without the flood.
 func (cmd *experimentCommand) flood(read func(string) *load.Scenario) []variant {
-	calm := cmd.policies(read, "sreekovil", true)
+	normal := cmd.policies(read, "sreekovil", true)
 	flooded := cmd.policies(read, "sreekovil", true)
 	for i := range flooded {
 		flooded[i].Name += ", flood"
@@ -88,15 +91,15 @@
 			orgs[floodOrganisation].Flood = floodFactor
 		}
 	}
-	return append(calm, flooded...)
+	return append(normal, flooded...)
 }
 
-// overloadSteps are the utilisations of the overload experiment.
-var overloadSteps = []float64{0.5, 0.75, 1, 1.5, 2}
+// overloadUtilisations are the utilisations that the overload experiment compares.
+var overloadUtilisations = []float64{0.5, 0.75, 1, 1.5, 2}
 
 func (cmd *experimentCommand) overload(read func(string) *load.Scenario) []variant {
 	var variants []variant
-	for _, step := range overloadSteps {
+	for _, step := range overloadUtilisations {
 		for _, va := range cmd.policies(read, "sreekovil", true) {
 			va.scenario.Mix.Utilisation = step
 			va.Name = fmt.Sprintf("%s at %.0f%%", va.Name, 100*step)
@@ -128,10 +131,12 @@
 	return variants
 }
 
-// controlLoadPeriod is the product's own default, so that reading load reports costs what it does in earnest.
+// controlLoadPeriod is the default of entry instances, so that reading load reports costs as much as in production.
 const controlLoadPeriod = 500 * time.Millisecond
 
-// controlSizes are the instances and replicas of the control experiment: one grows while the other stays.
+// controlSizes are the deployments of the control experiment: the number of instances, the number of replicas and the
+// utilisation vary one at a time. Where the replicas vary, the utilisation does so inversely, which keeps the request rate
+// about constant.
 var controlSizes = []struct {
 	instances, replicas int
 	utilisation         float64
@@ -152,8 +157,9 @@
 	return variants
 }
 
-// replaceInstances kills an instance every few seconds, starts another in its place and stops one gracefully at the
-// end. The rendezvous coordinator of each pool is among those killed, as all of the first ones are.
+// replaceInstances ends the oldest instance at a fixed period and starts another in its place. It alternates between
+// killing an instance and stopping it gracefully. The rendezvous coordinator of each pool is among the instances that end,
+// since all of the initial ones do.
 func replaceInstances(ctx context.Context, rg *rig) error {
 	const period = 3 * time.Second
 	rounds := int(rg.sc.Scaled(rg.sc.Mix.Duration)/period) - 1
@@ -170,21 +176,21 @@
 	return nil
 }
 
-// replace ends the oldest instance and starts another in its place. A planned stop is announced: the balancer takes
-// the instance out first.
+// replace ends the oldest instance and starts another in its place. A planned stop is graceful, and the balancer removes the
+// instance beforehand.
 func (rg *rig) replace(ctx context.Context, planned bool) error {
 	old := rg.entries[0]
 	rg.entries = rg.entries[1:]
 	rg.replaced++
 	end := old.Kill
 	if planned {
-		rg.balance()
+		rg.updateBalancer()
 		end = old.Terminate
 	}
 	if err := end(); err != nil {
 		return err
 	}
-	rg.balance()
+	rg.updateBalancer()
 	if err := plat.Remove(rg.fleet.Platform.Address, old.Name); err != nil {
 		return err
 	}
@@ -194,6 +200,6 @@
 	if err := fleet.WaitReady(ctx, rg.entries[len(rg.entries)-1].Address); err != nil {
 		return err
 	}
-	rg.balance()
+	rg.updateBalancer()
 	return nil
 }
--- a/internal/bench/weights.go
+++ b/internal/bench/weights.go
@@ -11,9 +11,9 @@
 )
 
 type weightsCommand struct {
-	Listen string        `long:"listen" env:"SAILBENCH_LISTEN" description:"address, host:port; port 0 takes a free one" default:"127.0.0.1:0"`
-	Rate   float64       `long:"loads-per-minute" description:"loads a minute before the store refuses; 0 is no bound" default:"30"`
-	Time   time.Duration `long:"load-time" description:"time one load takes" default:"500ms"`
+	Listen string        `long:"listen" env:"SAILBENCH_LISTEN" description:"address, host:port; port 0 picks a free one" default:"127.0.0.1:0"`
+	Rate   float64       `long:"loads-per-minute" description:"loads per minute above which the store refuses; 0 sets no limit" default:"30"`
+	Time   time.Duration `long:"load-time" description:"duration of one load" default:"500ms"`
 }
 
 // Execute implements flags.Commander.
--- a/internal/cmds/client.go
+++ b/internal/cmds/client.go
@@ -7,7 +7,7 @@
 	"dandelionsail.example/dandelionsail/internal/tool"
 )
 
-// withClient runs a command that asks an instance, until it is done or a signal ends it.
+// withClient runs a command with a client of the operator API. SIGINT or SIGTERM cancels its context.
 func withClient(opts oper.Options, run func(ctx context.Context, client *oper.Client) error) error {
 	client, err := oper.New(opts)
 	if err != nil {
--- a/internal/cmds/completion.go
+++ b/internal/cmds/completion.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Scripts that ask the program itself, which answers when GO_FLAGS_COMPLETION is set.
+// Completion scripts, which run the program with GO_FLAGS_COMPLETION set, so that it prints the candidates instead of
+// running a command.
 const (
 	bashScript = `_dandelionsail() {
   local IFS=$'\n'
--- a/internal/cmds/demo.go
+++ b/internal/cmds/demo.go
@@ -24,14 +24,18 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// The size of the demonstration.
+// Size and settings of the demonstration.
 const (
 	demoEngines   = 3
 	demoInstances = 2
-	demoUpdates   = 5
-	demoToken     = "demo-token"
-	demoTime      = 18 * time.Second
-	demoListLag   = 50 * time.Millisecond
+	// demoUpdates is the number of updates of the plain service, each of which is sent twice under one key.
+	demoUpdates = 5
+	// demoToken is the bearer token of the only organisation.
+	demoToken = "demo-token"
+	// demoTimeout bounds the whole run, unless it is kept running.
+	demoTimeout = 18 * time.Second
+	// demoListLag is the delay after which the instance list shows a change.
+	demoListLag = 50 * time.Millisecond
 )
 
 type demoCommand struct {
@@ -44,7 +48,7 @@
 	ctx, stop := tool.Context()
 	defer stop()
 	if !cmd.Keep {
-		limited, cancel := context.WithTimeout(ctx, demoTime)
+		limited, cancel := context.WithTimeout(ctx, demoTimeout)
 		defer cancel()
 		ctx = limited
 	}
@@ -56,7 +60,8 @@
 	return dm.run(ctx, cmd.Keep, os.Stdout)
 }
 
-// demo is a whole fleet in one process.
+// demo is a whole deployment in one process: entry instances, and stand-ins for the platform, the engines and a plain
+// service.
 type demo struct {
 	logger    *log.Logger
 	platform  *stand.Platform
@@ -68,24 +73,24 @@
 }
 
 func (dm *demo) run(ctx context.Context, keep bool, out io.Writer) error {
-	parts, stop := context.WithCancel(ctx)
+	partsCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	group, parts := errgroup.WithContext(parts)
-	if err := dm.start(parts, group); err != nil {
+	group, partsCtx := errgroup.WithContext(partsCtx)
+	if err := dm.start(partsCtx, group); err != nil {
 		return err
 	}
-	if err := dm.ready(ctx); err != nil {
+	if err := dm.waitReady(ctx); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "platform %s, %d engines, 1 plain service, entry instances %v\n\n", dm.address, demoEngines, dm.instances)
-	err := dm.exercise(ctx, out)
+	err := dm.sendRequests(ctx, out)
 	if keep && err == nil {
-		dm.invite(out)
+		dm.printInstructions(out)
 		<-ctx.Done()
 	}
 	stop()
-	if ended := group.Wait(); err == nil && ended != nil && ended != context.Canceled {
-		err = ended
+	if groupErr := group.Wait(); err == nil && groupErr != nil && groupErr != context.Canceled {
+		err = groupErr
 	}
 	return err
 }
@@ -134,7 +139,7 @@
 	return nil
 }
 
-// serveOn serves the handler on a free loopback port until the context ends.
+// serveOn serves the handler on a free loopback port until the context ends. It returns the address.
 func serveOn(ctx context.Context, group *errgroup.Group, handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -191,7 +196,7 @@
 	return nil
 }
 
-// issue makes an instance's keys in memory.
+// issue generates an instance's certificate and key in memory, signed by the demonstration's own authority.
 func (dm *demo) issue(name string) (*peers.Keys, error) {
 	if dm.authority == nil {
 		authority, err := certs.New()
@@ -218,8 +223,8 @@
 	})
 }
 
-// ready waits until every instance serves.
-func (dm *demo) ready(ctx context.Context) error {
+// waitReady waits until every instance reports that it is ready.
+func (dm *demo) waitReady(ctx context.Context) error {
 	for _, address := range dm.instances {
 		for !isReady(ctx, address) {
 			select {
@@ -245,14 +250,14 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (dm *demo) invite(out io.Writer) {
+func (dm *demo) printInstructions(out io.Writer) {
 	fmt.Fprintf(out, "\nstill running; stop it with an interrupt. Try:\n"+
 		"curl -N http://%s/v1/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"lyric\",\"prompt\":\"Which hymn is next?\",\"max_tokens\":8,\"stream\":true}'\n",
 		dm.instances[0], demoToken)
 }
 
-// exercise sends the requests and prints the report.
-func (dm *demo) exercise(ctx context.Context, out io.Writer) error {
+// sendRequests sends completions and updates concurrently, prints the report and checks the results.
+func (dm *demo) sendRequests(ctx context.Context, out io.Writer) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
 	rp := &demoReport{}
@@ -270,10 +275,10 @@
 	}
 	rp.write(out)
 	fmt.Fprintf(out, "\nboard updates: %d sent with %d keys, %d run\n", rp.updates, rp.keys, len(dm.service.Runs()))
-	return rp.verdict(len(dm.service.Runs()))
+	return rp.check(len(dm.service.Runs()))
 }
 
-// demoPrompts are the lengths sent: mostly short ones, and long ones beside them.
+// demoPrompts returns the prompt lengths to send in tokens: a few long ones and many short ones.
 func demoPrompts() []int64 {
 	prompts := []int64{300_000, 60_000, 150_000}
 	for i := range 40 {
@@ -282,26 +287,26 @@
 	return prompts
 }
 
-// updateBoard sends each non-idempotent update twice under one key, as a caller does whose first answer was lost.
+// updateBoard sends each non-idempotent update twice under one key, as a caller does that lost the first answer.
 func (dm *demo) updateBoard(ctx context.Context, client *http.Client, rp *demoReport) error {
 	for number := range demoUpdates {
 		header := http.Header{"Idempotency-Key": {fmt.Sprintf("hymn-%d", number)}}
 		raw := fmt.Appendf(nil, `{"Hymn":%d}`, 100+number)
-		for send := range 2 {
-			caller := &load.Caller{Address: dm.instances[send%demoInstances], Token: demoToken, HTTP: client}
+		for attempt := range 2 {
+			caller := &load.Caller{Address: dm.instances[attempt%demoInstances], Token: demoToken, HTTP: client}
 			status, err := updateOnce(ctx, caller, raw, header)
 			if err != nil {
 				return err
 			}
-			rp.updated(status)
+			rp.addUpdate(status)
 		}
 		rp.keys++
 	}
 	return nil
 }
 
-// updateOnce sends an update until it is answered. A resend that meets the first one still under way is told when to
-// ask again.
+// updateOnce sends an update until it gets an answer other than 409 and returns its status. An instance answers 409 with a
+// Retry-After header while the first request under the same key is still running.
 func updateOnce(ctx context.Context, caller *load.Caller, raw []byte, header http.Header) (int, error) {
 	for {
 		resp, err := caller.Do(ctx, http.MethodPost, "/board/next", raw, header)
--- a/internal/cmds/demoreport.go
+++ b/internal/cmds/demoreport.go
@@ -12,23 +12,24 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// maxLatency is the longest time that the histograms hold, in microseconds.
+// maxLatency is the longest time that the histograms can record, in microseconds.
 const maxLatency = int64(10 * time.Minute / time.Microsecond)
 
-// classReport is what the requests of one length class saw.
+// classReport holds the results of the requests of one length class.
 type classReport struct {
+	// firstToken holds the times to the first token of whole answers, in microseconds.
 	firstToken *hdrhistogram.Histogram
 	outcomes   map[load.Outcome]int
 }
 
-// demoReport gathers the results of a demonstration.
+// demoReport collects the results of a demonstration.
 type demoReport struct {
-	mu      sync.Mutex
-	classes map[string]*classReport
-	updates int
-	failed  int
-	keys    int
-	bad     int
+	mu            sync.Mutex
+	classes       map[string]*classReport
+	updates       int
+	failedUpdates int
+	keys          int
+	incomplete    int
 }
 
 func (rp *demoReport) add(tokens int64, res load.Result) {
@@ -46,18 +47,18 @@
 	}
 	cr.outcomes[res.Outcome]++
 	if res.Outcome != load.OutcomeWhole {
-		rp.bad++
+		rp.incomplete++
 		return
 	}
 	_ = cr.firstToken.RecordValue(res.FirstToken.Microseconds())
 }
 
-func (rp *demoReport) updated(status int) {
+func (rp *demoReport) addUpdate(status int) {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
 	rp.updates++
 	if status/100 != 2 {
-		rp.failed++
+		rp.failedUpdates++
 	}
 }
 
@@ -69,7 +70,7 @@
 			continue
 		}
 		fmt.Fprintf(out, "%-8s %8d %12s %12s %12s\n", class.Name, cr.outcomes[load.OutcomeWhole],
-			micros(cr.firstToken.ValueAtQuantile(50)), micros(cr.firstToken.ValueAtQuantile(95)), micros(cr.firstToken.Max()))
+			roundMicros(cr.firstToken.ValueAtQuantile(50)), roundMicros(cr.firstToken.ValueAtQuantile(95)), roundMicros(cr.firstToken.Max()))
 		for outcome, count := range cr.outcomes {
 			if outcome != load.OutcomeWhole {
 				fmt.Fprintf(out, "%-8s %8d %s\n", "", count, outcome)
@@ -78,14 +79,16 @@
 	}
 }
 
-func micros(value int64) time.Duration {
+// roundMicros converts microseconds to a duration rounded to 0.1 ms.
+func roundMicros(value int64) time.Duration {
 	return (time.Duration(value) * time.Microsecond).Round(100 * time.Microsecond)
 }
 
-// verdict fails the demonstration if an answer was not whole or an update not run exactly once.
-func (rp *demoReport) verdict(ran int) error {
-	if rp.bad > 0 || rp.failed > 0 || ran != rp.keys {
-		return fmt.Errorf("demo: %d answers not whole, %d updates failed, %d of %d keys run; see --verbose", rp.bad, rp.failed, ran, rp.keys)
+// check returns an error if an answer was incomplete or if an update was not executed exactly once. Its argument is the
+// number of updates that the service executed.
+func (rp *demoReport) check(ran int) error {
+	if rp.incomplete > 0 || rp.failedUpdates > 0 || ran != rp.keys {
+		return fmt.Errorf("demo: %d answers not whole, %d updates failed, %d of %d keys run; see --verbose", rp.incomplete, rp.failedUpdates, ran, rp.keys)
 	}
 	return nil
 }
--- a/internal/cmds/history.go
+++ b/internal/cmds/history.go
@@ -15,7 +15,7 @@
 
 type historyCommand struct {
 	oper.Options
-	After int64 `long:"after" description:"list only the patches after this version"`
+	After int64 `long:"after" description:"list only the patches that follow this version"`
 	JSON  bool  `long:"json" description:"print JSON"`
 }
 
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// writePatch prints who changed what, a line an operation.
+// writePatch prints the author and time of a patch, followed by one line for each operation. Operations that do not parse
+// are left out.
 func writePatch(out io.Writer, version int64, patch conf.Patch) {
 	fmt.Fprintf(out, "version %d by %s at %s (patch %s)\n", version, patch.Author, patch.At.Format(time.RFC3339), patch.ID)
 	var operations []decl.Operation
--- a/internal/cmds/lint.go
+++ b/internal/cmds/lint.go
@@ -8,7 +8,7 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// directoryArgs name a directory of declarations.
+// directoryArgs are the arguments of a command that reads a directory of declarations.
 type directoryArgs struct {
 	Directory string `positional-arg-name:"DIRECTORY" description:"directory of declarations"`
 }
--- a/internal/cmds/patch.go
+++ b/internal/cmds/patch.go
@@ -14,10 +14,10 @@
 	"dandelionsail.example/dandelionsail/internal/tool"
 )
 
-// Repeats of a patch whose answer was lost.
+// Retries of a patch after an Unreachable error.
 const (
-	patchTries = 5
-	patchPause = time.Second
+	patchAttempts   = 5
+	patchRetryDelay = time.Second
 )
 
 type patchCommand struct {
@@ -43,7 +43,7 @@
 	}
 	version, err := submit(ctx, client, patch)
 	if errorx.IsOfType(err, oper.Stale) {
-		return conflict(ctx, client, patch, err)
+		return reportConflict(ctx, client, patch, err)
 	}
 	if err != nil {
 		return err
@@ -67,28 +67,30 @@
 	}
 	var patch conf.Patch
 	if err := json.Unmarshal(raw, &patch); err != nil {
-		return conf.Patch{}, tool.Usage(fmt.Errorf("%s is no saved plan; make one with config plan --out: %w", cmd.Args.Source, err))
+		return conf.Patch{}, tool.Usage(fmt.Errorf("%s is not a saved plan; write one with config plan --out: %w", cmd.Args.Source, err))
 	}
 	return patch, nil
 }
 
-// submit sends the patch again when its answer was lost; under its own id it lands once.
+// submit sends the patch and retries it after an Unreachable error, when the answer may have been lost. A retry has the same
+// ID, so that the patch is applied only once.
 func submit(ctx context.Context, client *oper.Client, patch conf.Patch) (int64, error) {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		version, err := client.Submit(ctx, patch)
-		if !errorx.IsOfType(err, oper.Unreachable) || try == patchTries {
+		if !errorx.IsOfType(err, oper.Unreachable) || attempt == patchAttempts {
 			return version, err
 		}
 		select {
 		case <-ctx.Done():
 			return 0, err
-		case <-time.After(patchPause):
+		case <-time.After(patchRetryDelay):
 		}
 	}
 }
 
-// conflict tells who changed what since the patch was made.
-func conflict(ctx context.Context, client *oper.Client, patch conf.Patch, stale error) error {
+// reportConflict prints the patches that were accepted since the version on which the patch is based. It returns the error
+// with the exit code of a conflict.
+func reportConflict(ctx context.Context, client *oper.Client, patch conf.Patch, stale error) error {
 	fmt.Fprintln(os.Stderr, "since version", patch.Base)
 	since, err := client.History(ctx, patch.Base)
 	if err == nil {
--- a/internal/cmds/plan.go
+++ b/internal/cmds/plan.go
@@ -14,7 +14,7 @@
 
 type planCommand struct {
 	oper.Options
-	Out  string        `long:"out" description:"file that takes the plan, for config patch"`
+	Out  string        `long:"out" description:"file to write the plan to, for config patch"`
 	Args directoryArgs `positional-args:"yes" required:"yes"`
 }
 
@@ -47,7 +47,7 @@
 	return os.WriteFile(cmd.Out, append(raw, '\n'), 0o600)
 }
 
-// plan compares a directory with the version in force.
+// plan compares a directory with the configuration in force. It returns the patch that makes them equal and its operations.
 func plan(ctx context.Context, client *oper.Client, directory string) (conf.Patch, []decl.Operation, error) {
 	var patch conf.Patch
 	dir, err := readDirectory(directory)
--- a/internal/cmds/report.go
+++ b/internal/cmds/report.go
@@ -15,7 +15,7 @@
 
 type reportCommand struct {
 	oper.Options
-	Format string `long:"format" choice:"text" choice:"json" choice:"html" default:"text" description:"form of the report"`
+	Format string `long:"format" choice:"text" choice:"json" choice:"html" default:"text" description:"format of the report"`
 	Out    string `long:"out" description:"file to write; empty writes to standard output"`
 }
 
@@ -34,7 +34,7 @@
 	}
 	file, err := os.Create(cmd.Out)
 	if err != nil {
-		return tool.Usage(fmt.Errorf("report: --out %s cannot be written: %w", cmd.Out, err))
+		return tool.Usage(fmt.Errorf("report: --out %s cannot be written; check the path and its permissions: %w", cmd.Out, err))
 	}
 	if err := cmd.write(file, rp); err != nil {
 		_ = file.Close()
--- a/internal/cmds/settings.go
+++ b/internal/cmds/settings.go
@@ -10,13 +10,13 @@
 	"dandelionsail.example/dandelionsail/internal/tool"
 )
 
-// table is one table of settings in a page, between its marks.
+// table is a table of the settings of one command, which stands in a page between its two markers.
 type table struct {
 	begin, end string
 	command    any
 }
 
-var tables = []table{
+var settingsTables = []table{
 	{
 		"<!-- table of settings: written by dandelionsail settings --page docs/OPERATIONS.md -->\n", "<!-- end of settings -->\n",
 		&entryCommand{},
@@ -28,13 +28,13 @@
 }
 
 type settingsCommand struct {
-	Page string `long:"page" description:"page whose table is written anew; empty prints the table"`
+	Page string `long:"page" description:"page whose tables are replaced; empty prints the tables"`
 }
 
 // Execute implements flags.Commander.
 func (cmd *settingsCommand) Execute(_ []string) error {
 	if cmd.Page == "" {
-		for _, tb := range tables {
+		for _, tb := range settingsTables {
 			fmt.Println(tb.text())
 		}
 		return nil
@@ -45,14 +45,15 @@
 	}
 	page, ok := withSettings(string(raw))
 	if !ok {
-		return tool.Usage(fmt.Errorf("settings: %s lacks the marks of a table; put them back", cmd.Page))
+		return tool.Usage(fmt.Errorf("settings: %s lacks the markers of a table; put them back", cmd.Page))
 	}
 	return os.WriteFile(cmd.Page, []byte(page), 0o644)
 }
 
-// withSettings returns the page with the tables between their marks.
+// withSettings replaces the text between the markers of each table and returns the page. It reports false if a marker is
+// missing.
 func withSettings(page string) (string, bool) {
-	for _, tb := range tables {
+	for _, tb := range settingsTables {
 		before, rest, found := strings.Cut(page, tb.begin)
 		_, after, closed := strings.Cut(rest, tb.end)
 		if !found || !closed {
@@ -63,7 +64,7 @@
 	return page, true
 }
 
-// text lists the settings of the table's command.
+// text returns the table in Markdown, with one row for each setting of the command.
 func (tb *table) text() string {
 	parser := flags.NewParser(tb.command, flags.None)
 	var text strings.Builder
--- a/internal/cmds/status.go
+++ b/internal/cmds/status.go
@@ -21,13 +21,13 @@
 type statusCommand struct {
 	oper.Options
 	JSON  bool          `long:"json" description:"print JSON"`
-	Watch time.Duration `long:"watch" optional:"yes" optional-value:"2s" description:"print again after each such time until interrupted"`
+	Watch time.Duration `long:"watch" optional:"yes" optional-value:"2s" description:"print again at this interval until interrupted"`
 }
 
-// fleetStatus is what all instances say.
+// fleetStatus holds the status of every instance.
 type fleetStatus struct {
 	Instances []entry.Status
-	// Missing names instances that gave no answer.
+	// Missing names the instances that did not respond.
 	Missing []string
 }
 
@@ -38,7 +38,7 @@
 
 func (cmd *statusCommand) run(ctx context.Context, client *oper.Client) error {
 	for {
-		if err := cmd.once(ctx, client, os.Stdout); err != nil {
+		if err := cmd.printOnce(ctx, client, os.Stdout); err != nil {
 			return err
 		}
 		if cmd.Watch <= 0 {
@@ -52,7 +52,7 @@
 	}
 }
 
-func (cmd *statusCommand) once(ctx context.Context, client *oper.Client, out io.Writer) error {
+func (cmd *statusCommand) printOnce(ctx context.Context, client *oper.Client, out io.Writer) error {
 	statuses, missing, err := client.Fleet(ctx)
 	if err != nil {
 		return err
@@ -68,7 +68,7 @@
 	table := tabwriter.NewWriter(out, 2, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "INSTANCE\tFAILURE DOMAIN\tVERSION\tSTATE\tREQUESTS")
 	for _, sts := range fs.Instances {
-		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\n", sts.Instance, sts.FailureDomain, sts.Version, stateOf(sts), phases(sts.Requests))
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\n", sts.Instance, sts.FailureDomain, sts.Version, stateText(sts), formatPhases(sts.Requests))
 	}
 	for _, name := range fs.Missing {
 		fmt.Fprintf(table, "%s\t?\t?\tNo answer\t?\n", name)
@@ -79,7 +79,7 @@
 	return table.Flush()
 }
 
-func stateOf(sts entry.Status) string {
+func stateText(sts entry.Status) string {
 	switch {
 	case sts.Draining:
 		return "Draining"
@@ -89,7 +89,7 @@
 	return "Ready"
 }
 
-func phases(requests map[string]int) string {
+func formatPhases(requests map[string]int) string {
 	var parts []string
 	for phase, count := range requests {
 		parts = append(parts, fmt.Sprintf("%d %s", count, phase))
@@ -101,23 +101,24 @@
 	return strings.Join(parts, ", ")
 }
 
-// writeUpstreams shows each upstream once, with the work of all instances and every state that is not Live.
+// writeUpstreams prints each upstream once, with the requests and tokens of all instances and each state other than Live
+// that an instance reports.
 func (fs *fleetStatus) writeUpstreams(out io.Writer) {
 	fmt.Fprintln(out, "\nUPSTREAM\tSERVICE\tFAILURE DOMAIN\tRUNNING\tTOKENS\tMEMORY\tSTATE")
 	var names []string
-	seen := map[string]entry.UpstreamStatus{}
+	totals := map[string]entry.UpstreamStatus{}
 	states := map[string][]string{}
 	for _, sts := range fs.Instances {
 		for _, us := range sts.Upstreams {
-			all, ok := seen[us.Name]
+			total, ok := totals[us.Name]
 			if !ok {
 				names = append(names, us.Name)
-				all = us
-				all.Running, all.Tokens = 0, 0
+				total = us
+				total.Running, total.Tokens = 0, 0
 			}
-			all.Running += us.Running
-			all.Tokens += us.Tokens
-			seen[us.Name] = all
+			total.Running += us.Running
+			total.Tokens += us.Tokens
+			totals[us.Name] = total
 			if us.Why != "" {
 				states[us.Name] = append(states[us.Name], fmt.Sprintf("%s at %s: %s", us.State, sts.Instance, us.Why))
 			}
@@ -125,25 +126,25 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		us := seen[name]
+		us := totals[name]
 		state := strings.Join(states[name], "; ")
 		if state == "" {
 			state = "Live"
 		}
-		fmt.Fprintf(out, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n", name, us.Service, us.FailureDomain, us.Running, us.Tokens, memory(us), state)
+		fmt.Fprintf(out, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n", name, us.Service, us.FailureDomain, us.Running, us.Tokens, formatMemory(us), state)
 	}
 }
 
-// writePools shows each pool with its coordinator; where instances name different ones, all are named.
+// writePools prints each pool with its coordinator, or with all coordinators if the instances disagree.
 func (fs *fleetStatus) writePools(out io.Writer) {
 	var keys []permit.Pool
-	seen := map[permit.Pool]*poolRow{}
+	rows := map[permit.Pool]*poolRow{}
 	for _, sts := range fs.Instances {
 		for _, pl := range sts.Pools {
-			row, ok := seen[pl.Pool]
+			row, ok := rows[pl.Pool]
 			if !ok {
 				row = &poolRow{}
-				seen[pl.Pool] = row
+				rows[pl.Pool] = row
 				keys = append(keys, pl.Pool)
 			}
 			row.add(pl)
@@ -153,12 +154,12 @@
 		if i == 0 {
 			fmt.Fprintln(out, "\nPOOL\tFAILURE DOMAIN\tREPLICAS\tCOORDINATOR\tRESERVED TOKENS")
 		}
-		row := seen[key]
+		row := rows[key]
 		fmt.Fprintf(out, "%s\t%s\t%d\t%s\t%d\n", key.Service, key.FailureDomain, row.replicas, strings.Join(row.coordinators, " or "), row.reserved)
 	}
 }
 
-// poolRow is what all instances say of one pool.
+// poolRow aggregates the views that all instances have of one pool.
 type poolRow struct {
 	replicas     int
 	coordinators []string
@@ -175,7 +176,7 @@
 	}
 }
 
-func memory(us entry.UpstreamStatus) string {
+func formatMemory(us entry.UpstreamStatus) string {
 	if us.Load.MemoryTokens == 0 {
 		return "-"
 	}
--- a/internal/oper/oper.go
+++ b/internal/oper/oper.go
@@ -1,4 +1,4 @@
-// Package oper is the client of the operator API that every entry instance serves.
+// Package oper implements a client of the operator API, which every entry instance serves.
 package oper
 
 import (
@@ -25,36 +25,36 @@
 )
 
 var (
-	// Errors groups what this package returns.
+	// Errors is the namespace of the errors that this package returns.
 	Errors = errorx.NewNamespace("oper")
-	// BadOption tells that a setting cannot be used.
+	// BadOption means that a setting is invalid or cannot be used.
 	BadOption = Errors.NewType("bad_option")
-	// Unreachable tells that the instance gave no answer.
+	// Unreachable means that the instance sent no usable response, or answered 503.
 	Unreachable = Errors.NewType("unreachable", errorx.Temporary())
-	// Refused tells that the instance refused the request; the message has its remedy.
+	// Refused means that the instance rejected the request; the instance's message names the remedy.
 	Refused = Errors.NewType("refused")
-	// Stale tells that a patch was made against an older version.
+	// Stale means that a patch is based on a version that is no longer the newest one.
 	Stale = Errors.NewType("stale")
 )
 
-// Options say which instance to ask and as whom.
+// Options select the instance to connect to and the operator's credentials.
 type Options struct {
 	Server    string        `long:"server" env:"DANDELIONSAIL_SERVER" description:"an entry instance, host:port or URL" default:"127.0.0.1:8080"`
 	Token     string        `long:"token" env:"DANDELIONSAIL_OPERATOR_TOKEN" description:"operator's token; prefer the variable or --token-file"`
 	TokenFile string        `long:"token-file" env:"DANDELIONSAIL_OPERATOR_TOKEN_FILE" description:"file that holds the operator's token"`
-	CA        string        `long:"ca" env:"DANDELIONSAIL_CA" description:"file of the authority that signed the instance's certificate"`
-	CertName  string        `long:"cert-name" env:"DANDELIONSAIL_CERT_NAME" description:"name in the instances' certificates, where they are reached by IP number"`
-	Timeout   time.Duration `long:"timeout" env:"DANDELIONSAIL_TIMEOUT" description:"longest wait for an answer" default:"10s"`
+	CA        string        `long:"ca" env:"DANDELIONSAIL_CA" description:"file with the certificate of the authority that signed the instances' certificates"`
+	CertName  string        `long:"cert-name" env:"DANDELIONSAIL_CERT_NAME" description:"name in the instances' certificates, if they are reached by IP address"`
+	Timeout   time.Duration `long:"timeout" env:"DANDELIONSAIL_TIMEOUT" description:"timeout of a request" default:"10s"`
 }
 
-// Client asks instances.
+// Client sends requests to the operator API of one instance, or of all instances that it lists.
 type Client struct {
-	base  string
-	token string
-	http  *http.Client
+	baseURL string
+	token   string
+	http    *http.Client
 }
 
-// New checks the options and returns a client.
+// New validates the options and returns a client. It returns a BadOption error for an invalid one.
 func New(opts Options) (*Client, error) {
 	token, err := opts.readToken()
 	if err != nil {
@@ -65,11 +65,11 @@
 	}
 	transport := &http.Transport{}
 	if opts.CA != "" {
-		if transport.TLSClientConfig, err = trust(opts.CA, opts.CertName); err != nil {
+		if transport.TLSClientConfig, err = tlsConfig(opts.CA, opts.CertName); err != nil {
 			return nil, err
 		}
 	}
-	return &Client{base: base(opts.Server), token: token, http: &http.Client{Transport: transport, Timeout: opts.Timeout}}, nil
+	return &Client{baseURL: baseURL(opts.Server), token: token, http: &http.Client{Transport: transport, Timeout: opts.Timeout}}, nil
 }
 
 func (opts Options) readToken() (string, error) {
@@ -81,15 +81,15 @@
 	}
 	raw, err := os.ReadFile(opts.TokenFile)
 	if err != nil {
-		return "", BadOption.Wrap(err, "oper: --token-file %s cannot be read", opts.TokenFile)
+		return "", BadOption.Wrap(err, "oper: --token-file %s cannot be read; check the path and its permissions", opts.TokenFile)
 	}
 	return strings.TrimSpace(string(raw)), nil
 }
 
-func trust(file, name string) (*tls.Config, error) {
+func tlsConfig(file, name string) (*tls.Config, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		return nil, BadOption.Wrap(err, "oper: --ca %s cannot be read", file)
+		return nil, BadOption.Wrap(err, "oper: --ca %s cannot be read; check the path and its permissions", file)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
@@ -98,17 +98,17 @@
 	return &tls.Config{RootCAs: pool, ServerName: name, MinVersion: tls.VersionTLS13}, nil
 }
 
-func base(server string) string {
+func baseURL(server string) string {
 	if strings.Contains(server, "://") {
 		return strings.TrimRight(server, "/")
 	}
 	return "http://" + server
 }
 
-// at returns the client of another instance under the same token.
-func (cl *Client) at(address string) *Client {
-	scheme, _, _ := strings.Cut(cl.base, "://")
-	return &Client{base: scheme + "://" + address, token: cl.token, http: cl.http}
+// withAddress returns a client of another instance that shares the scheme, the token and the connection pool.
+func (cl *Client) withAddress(address string) *Client {
+	scheme, _, _ := strings.Cut(cl.baseURL, "://")
+	return &Client{baseURL: scheme + "://" + address, token: cl.token, http: cl.http}
 }
 
 // Close closes idle connections.
@@ -116,28 +116,28 @@
 	cl.http.CloseIdleConnections()
 }
 
-// Status returns what the instance knows.
+// Status returns the instance's state and its view of the fleet.
 func (cl *Client) Status(ctx context.Context) (entry.Status, error) {
 	var status entry.Status
 	err := cl.call(ctx, http.MethodGet, "/operator/v1/status", nil, &status)
 	return status, err
 }
 
-// Report returns what the instance measured.
+// Report returns the instance's measurements.
 func (cl *Client) Report(ctx context.Context) (meter.Report, error) {
 	var rp meter.Report
 	err := cl.call(ctx, http.MethodGet, "/operator/v1/report", nil, &rp)
 	return rp, err
 }
 
-// Config returns the version in force at the instance.
+// Config returns the configuration in force at the instance.
 func (cl *Client) Config(ctx context.Context) (*decl.Config, error) {
 	cfg := &decl.Config{}
 	err := cl.call(ctx, http.MethodGet, "/operator/v1/config", nil, cfg)
 	return cfg, err
 }
 
-// History returns the patches after a version, oldest first.
+// History returns the patches that follow a version, oldest first.
 func (cl *Client) History(ctx context.Context, after int64) ([]conf.Patch, error) {
 	var patches []conf.Patch
 	path := "/operator/v1/config/patches?after=" + strconv.FormatInt(after, 10)
@@ -145,53 +145,54 @@
 	return patches, err
 }
 
-// Submit sends a patch. After an Unreachable error the same patch may be sent again; it lands once.
+// Submit sends a patch and returns the version that it became. After an Unreachable error the same patch may be sent again:
+// it is applied only once.
 func (cl *Client) Submit(ctx context.Context, patch conf.Patch) (int64, error) {
 	var accepted entry.PatchAccepted
 	err := cl.call(ctx, http.MethodPost, "/operator/v1/config/patches", patch, &accepted)
 	return accepted.Version, err
 }
 
-// fanOut bounds the instances asked at once.
-const fanOut = 16
+// maxParallel is the maximum number of concurrent requests to instances.
+const maxParallel = 16
 
-// Fleet asks every live instance that this one knows, and names those that gave no answer.
+// Fleet returns the status of every instance that this one lists, and the names of those that did not respond.
 func (cl *Client) Fleet(ctx context.Context) (statuses []entry.Status, missing []string, err error) {
 	first, err := cl.Status(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	statuses, missing = askAll(cl, first, func(at *Client) (entry.Status, error) { return at.Status(ctx) })
+	statuses, missing = queryAll(cl, first, func(at *Client) (entry.Status, error) { return at.Status(ctx) })
 	return statuses, missing, nil
 }
 
-// FleetReport returns the figures of every live instance as one.
+// FleetReport merges the measurements of every instance that this one lists. Missing names those that did not respond.
 func (cl *Client) FleetReport(ctx context.Context) (meter.Report, error) {
 	first, err := cl.Status(ctx)
 	if err != nil {
 		return meter.Report{}, err
 	}
-	reports, missing := askAll(cl, first, func(at *Client) (meter.Report, error) { return at.Report(ctx) })
+	reports, missing := queryAll(cl, first, func(at *Client) (meter.Report, error) { return at.Report(ctx) })
 	return meter.Merge(append(reports, meter.Report{Missing: missing})), nil
 }
 
-// askAll asks the instance that gave the status and all that it knows.
-func askAll[Answer any](cl *Client, first entry.Status, ask func(at *Client) (Answer, error)) (answers []Answer, missing []string) {
-	asked := []*Client{cl}
+// queryAll queries the client's own instance, whose status is first, and all others that the status lists.
+func queryAll[Response any](cl *Client, first entry.Status, query func(at *Client) (Response, error)) (reachable []Response, missing []string) {
+	clients := []*Client{cl}
 	names := []string{first.Instance}
 	for _, inst := range first.Instances {
 		if inst.Name != first.Instance {
-			asked = append(asked, cl.at(inst.Address))
+			clients = append(clients, cl.withAddress(inst.Address))
 			names = append(names, inst.Name)
 		}
 	}
-	all := make([]Answer, len(asked))
-	errs := make([]error, len(asked))
+	responses := make([]Response, len(clients))
+	errs := make([]error, len(clients))
 	var group errgroup.Group
-	group.SetLimit(fanOut)
-	for i, at := range asked {
+	group.SetLimit(maxParallel)
+	for i, at := range clients {
 		group.Go(func() error {
-			all[i], errs[i] = ask(at)
+			responses[i], errs[i] = query(at)
 			return nil
 		})
 	}
@@ -201,45 +202,45 @@
 			missing = append(missing, name)
 			continue
 		}
-		answers = append(answers, all[i])
+		reachable = append(reachable, responses[i])
 	}
-	return answers, missing
+	return reachable, missing
 }
 
-// maxAnswer bounds an answer in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds the part of a response body that is read.
+const maxResponseBytes = 64 << 20
 
 func (cl *Client) call(ctx context.Context, method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		raw, err := json.Marshal(in)
 		if err != nil {
-			return Refused.Wrap(err, "oper: the request does not encode")
+			return Refused.Wrap(err, "oper: cannot encode the request")
 		}
 		body = bytes.NewReader(raw)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, cl.base+path, body)
+	req, err := http.NewRequestWithContext(ctx, method, cl.baseURL+path, body)
 	if err != nil {
-		return BadOption.Wrap(err, "oper: --server %s does not parse; give host:port or a URL", cl.base)
+		return BadOption.Wrap(err, "oper: --server %s does not parse; give host:port or a URL", cl.baseURL)
 	}
 	req.Header.Set("Authorization", "Bearer "+cl.token)
 	resp, err := cl.http.Do(req)
 	if err != nil {
-		return Unreachable.Wrap(err, "oper: %s gave no answer; check --server", cl.base)
+		return Unreachable.Wrap(err, "oper: no response from %s; check --server", cl.baseURL)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	limited := io.LimitReader(resp.Body, maxAnswer)
+	limited := io.LimitReader(resp.Body, maxResponseBytes)
 	if resp.StatusCode/100 != 2 {
-		return refusal(resp.StatusCode, limited)
+		return responseError(resp.StatusCode, limited)
 	}
 	if err := json.NewDecoder(limited).Decode(out); err != nil {
-		return Unreachable.Wrap(err, "oper: %s answered no JSON; is it an entry instance?", cl.base)
+		return Unreachable.Wrap(err, "oper: the response of %s is not JSON; check that --server names an entry instance", cl.baseURL)
 	}
 	return nil
 }
 
-// refusal reads either form of error that an instance answers with.
-func refusal(status int, body io.Reader) error {
+// responseError decodes an error response, which has the form of PatchRefused or of the API's error object.
+func responseError(status int, body io.Reader) error {
 	var answer struct {
 		entry.PatchRefused
 		Error struct {
@@ -247,7 +248,7 @@
 		} `json:"error"`
 	}
 	if err := json.NewDecoder(body).Decode(&answer); err != nil {
-		return Refused.New("oper: the instance answered %d", status)
+		return Refused.New("oper: the instance answered with status %d and no JSON error; check that --server names an entry instance", status)
 	}
 	message := answer.Message + answer.Error.Message
 	switch status {
--- a/internal/tool/progress.go
+++ b/internal/tool/progress.go
@@ -5,11 +5,12 @@
 	"os"
 )
 
-// Progress returns a function that shows a line of progress on a terminal and nothing in a pipe.
-func Progress() func(done string) {
+// Progress returns a function that replaces the progress line on standard error. It writes nothing if standard error is not
+// a terminal.
+func Progress() func(status string) {
 	info, err := os.Stderr.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return func(string) {}
 	}
-	return func(done string) { fmt.Fprintf(os.Stderr, "\r\x1b[K%s", done) }
+	return func(status string) { fmt.Fprintf(os.Stderr, "\r\x1b[K%s", status) }
 }
--- a/internal/tool/tool.go
+++ b/internal/tool/tool.go
@@ -1,4 +1,4 @@
-// Package tool runs a command line: parsing, checked settings, signals and exit codes, the same for every program.
+// Package tool holds what the command line programs share: parsing of arguments, exit codes, signals, logging and progress.
 package tool
 
 import (
@@ -13,18 +13,19 @@
 	"github.com/phuslu/log"
 )
 
-// Exit codes.
+// Exit codes of the programs.
 const (
+	// ExitOK means that the command succeeded.
 	ExitOK = 0
-	// ExitFailed tells that the command ran and failed.
+	// ExitFailed means that the command ran and failed.
 	ExitFailed = 1
-	// ExitUsage tells that the command line or a setting is wrong; nothing was done.
+	// ExitUsage means that the command line or a setting is invalid; nothing was done.
 	ExitUsage = 2
-	// ExitConflict tells that another's change came first; get the newest version and try again.
+	// ExitConflict means that the change conflicts with one that was accepted earlier; get the newest version and try again.
 	ExitConflict = 3
 )
 
-// CodedError is an error with an exit code of its own.
+// CodedError is an error that sets the program's exit code.
 type CodedError struct {
 	Code int
 	Err  error
@@ -33,22 +34,22 @@
 // Error implements error.
 func (ce *CodedError) Error() string { return ce.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (ce *CodedError) Unwrap() error { return ce.Err }
 
-// Usage marks an error as one of the command line.
+// Usage wraps an error in the command line or a setting, so that the program exits with ExitUsage.
 func Usage(err error) error {
 	return &CodedError{Code: ExitUsage, Err: err}
 }
 
-// Main parses the arguments, runs the command they name and returns the exit code.
+// Main parses the arguments, runs the command that they name and returns the exit code.
 func Main(parser *flags.Parser, args []string) int {
 	_, err := parser.ParseArgs(args)
 	if err == nil {
 		return ExitOK
 	}
 	if flagErr, ok := errors.AsType[*flags.Error](err); ok {
-		return usage(parser, flagErr)
+		return printUsage(parser, flagErr)
 	}
 	fmt.Fprintln(os.Stderr, "error:", err)
 	if coded, ok := errors.AsType[*CodedError](err); ok {
@@ -57,7 +58,9 @@
 	return ExitFailed
 }
 
-func usage(parser *flags.Parser, err *flags.Error) int {
+// printUsage prints the requested help to standard output, or the error of the command line to standard error, and returns
+// the exit code.
+func printUsage(parser *flags.Parser, err *flags.Error) int {
 	if err.Type == flags.ErrHelp {
 		fmt.Println(err.Message)
 		return ExitOK
@@ -66,12 +69,12 @@
 	return ExitUsage
 }
 
-// Context returns a context that ends at an interrupt or a termination signal.
+// Context returns a context that SIGINT or SIGTERM cancels.
 func Context() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// Logger returns the structured logger of a program, which writes JSON lines to standard error.
+// Logger returns a logger that writes JSON lines to standard error.
 func Logger() *log.Logger {
 	return &log.Logger{Level: log.InfoLevel, TimeFormat: "2006-01-02T15:04:05.000Z07:00", Writer: &log.IOWriter{Writer: os.Stderr}}
 }
--- a/main.go
+++ b/main.go
@@ -1,4 +1,4 @@
-// Dandelionsail serves prompts of very unlike lengths over a shared fleet of model engines.
+// Dandelionsail routes requests whose prompts differ widely in length to a shared fleet of model engines.
 package main
 
 import (
