--- a/internal/stand/engine.go
+++ b/internal/stand/engine.go
@@ -1,5 +1,5 @@
-// Package stand has small stand-ins for the outside systems: model engines, plain services and the platform. They
-// speak the published protocols, and their faults can be set while they run.
+// Package stand implements stand-ins (test doubles) of the external systems: model engines, plain services and the
+// platform. They speak the published protocols, and faults can be injected while they run.
 package stand
 
 import (
@@ -14,46 +14,48 @@
 	"dandelionsail.example/dandelionsail/internal/upstr"
 )
 
-// EngineOptions fix an engine stand-in's speed and size. Times are those at time scale 1. docs/ENGINE.md states the
-// model and its limits.
+// EngineOptions set the speed and size of an engine stand-in. All times are given at time scale 1. docs/ENGINE.md
+// describes the model and its limits.
 type EngineOptions struct {
 	Model string
-	// MemoryTokens is what the KV memory holds.
+	// MemoryTokens is the capacity of the KV memory, in tokens.
 	MemoryTokens int64
-	// Step is the time of one step of the batch.
+	// Step is the duration of one step of the batch.
 	Step time.Duration
-	// PrefillChunk is the token budget of one step: one for each token decoded, the rest for prefill.
+	// PrefillChunk is the token budget of one step: each decoded token takes one, the rest goes to prefill.
 	PrefillChunk int64
-	// AttentionTokens is the position at which a prompt token costs twice as much as at the start; 0 for equal cost.
+	// AttentionTokens is the position at which a prompt token costs twice as much as at the start; with 0 all cost the same.
 	AttentionTokens int64
-	// MaxBatch is how many requests run at once; more wait.
+	// MaxBatch is the maximum number of requests that run at once; further ones wait.
 	MaxBatch int
-	// MaxWaiting is how many wait before the engine refuses.
+	// MaxWaiting is the maximum number of waiting requests; the engine refuses further ones.
 	MaxWaiting int
-	// ReportLag is how old a load report is.
+	// ReportLag is the age of the load reports that the engine serves.
 	ReportLag time.Duration
-	// CacheLag is how late a batch of cache events can be read, and CachePeriod the time that one batch covers.
-	CacheLag    time.Duration
+	// CacheLag is the delay after which a batch of cache events can be read.
+	CacheLag time.Duration
+	// CachePeriod is the period that one batch of cache events covers.
 	CachePeriod time.Duration
-	// CacheGap is the share of batches that are lost.
+	// CacheGap is the share of the batches of cache events that are lost, 0 to 1.
 	CacheGap float64
-	// Scale makes everything this many times as fast; 0 counts as 1.
+	// Scale is the factor by which everything runs faster; 0 counts as 1.
 	Scale float64
-	// CheckFencing refuses orders with an old fencing number.
+	// CheckFencing makes the engine refuse orders with an outdated fencing number.
 	CheckFencing bool
-	// LoadTime is how long one model or adapter takes to load where Weights is empty.
+	// LoadTime is the time to load one model or adapter if Weights is empty.
 	LoadTime time.Duration
-	// Weights is the address of the weight store that loads draw on.
+	// Weights is the address of the weight store from which models are loaded, empty for none.
 	Weights string
-	// Keepalive is the time between the comments that an answer under way carries.
+	// Keepalive is the interval of the comments that keep a streamed answer alive.
 	Keepalive time.Duration
-	// Crash ends the process; nil only drops everything in memory and cuts the connections.
+	// Crash ends the process. If it is nil, a crash only discards everything in memory and cuts the connections.
 	Crash func()
-	// Seed makes the lost batches and the random faults repeatable.
+	// Seed seeds the draws of lost batches and of random faults, so that they can be repeated.
 	Seed uint64
 }
 
-// DefaultEngine returns the options of a middling engine: 20,000 prompt tokens and 50 answer tokens a second.
+// DefaultEngine returns the options of an engine of medium speed. It prefills 20,000 prompt tokens per second and decodes
+// 50 answer tokens per second for each request.
 func DefaultEngine() EngineOptions {
 	return EngineOptions{
 		Model:        "lyric",
@@ -70,7 +72,7 @@
 	}
 }
 
-// scaled returns the options with the time scale worked into the times.
+// scaled returns the options with all times divided by the time scale.
 func (opts EngineOptions) scaled() EngineOptions {
 	if opts.Scale <= 0 {
 		opts.Scale = 1
@@ -81,50 +83,52 @@
 	return opts
 }
 
-// Engine is one model engine: a batch that prefills in chunks by priority and decodes one token for each request a
-// step.
+// Engine is one model engine. Its batch prefills in chunks by priority and decodes one token per request and step.
 type Engine struct {
 	opts EngineOptions
 
 	mu   sync.Mutex
 	jobs []*job
-	// used is the memory reserved by admitted requests, without the cache blocks they share.
-	used    int64
-	cache   *prefixCache
-	exports exports
-	reports []timedLoad
-	log     cacheLog
-	orders  orders
-	faults  EngineFaults
-	random  *rand.Rand
-	ran     map[string]int
-	// freed counts what may have made room for a waiting job.
-	freed int64
-	// steps counts the steps made, and lost the ones that a stalled machine did not make.
+	// reservedTokens is the memory that admitted requests reserve, without the cache blocks that they pin.
+	reservedTokens int64
+	cache          *prefixCache
+	exports        exports
+	reports        []timedLoad
+	log            cacheLog
+	orders         orders
+	faults         EngineFaults
+	random         *rand.Rand
+	// runCounts has the number of times that each request was accepted, by request ID.
+	runCounts map[string]int
+	// freeCount counts the events that may have freed memory for a waiting job.
+	freeCount int64
+	// steps counts the steps made.
 	steps int64
-	lost  int64
-	// work is the token budget spent.
+	// lostSteps counts the steps that were skipped because the machine was stalled.
+	lostSteps int64
+	// work is the token budget spent so far.
 	work float64
 }
 
-// NewEngine returns an engine without requests.
+// NewEngine returns an engine without requests. It makes no steps until Run is called.
 func NewEngine(opts EngineOptions) *Engine {
 	opts = opts.scaled()
 	return &Engine{
-		opts:    opts,
-		cache:   newPrefixCache(),
-		exports: exports{},
-		log:     newCacheLog(),
-		orders:  newOrders(opts.Model),
-		random:  rand.New(rand.NewPCG(opts.Seed, opts.Seed)),
-		ran:     map[string]int{},
+		opts:      opts,
+		cache:     newPrefixCache(),
+		exports:   exports{},
+		log:       newCacheLog(),
+		orders:    newOrders(opts.Model),
+		random:    rand.New(rand.NewPCG(opts.Seed, opts.Seed)),
+		runCounts: map[string]int{},
 	}
 }
 
-// maxCatchUp is how far the batch makes up for a machine that was busy; what is beyond it is counted as lost.
+// maxCatchUp is the maximum delay that the batch catches up with after the machine was busy; the steps of a longer delay
+// are counted as lost.
 const maxCatchUp = 250 * time.Millisecond
 
-// Run steps the batch and loads models until the context ends.
+// Run runs the batch and loads models until the context ends.
 func (en *Engine) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return en.runLoader(ctx) })
@@ -132,8 +136,8 @@
 	return group.Wait()
 }
 
-// runBatch steps by the clock, not by the ticks: a tick that comes late makes all the steps that were due, so that a
-// busy machine does not slow the engine.
+// runBatch makes steps by the clock, not one per tick: a late tick makes all the steps that were due, so that a busy
+// machine does not slow the engine down.
 func (en *Engine) runBatch(ctx context.Context) error {
 	ticker := time.NewTicker(en.opts.Step)
 	defer ticker.Stop()
@@ -148,14 +152,14 @@
 	}
 }
 
-// catchUp makes the steps due since the last one and returns when the next is due.
+// catchUp makes all steps that are due by now and returns the time at which the next one is due.
 func (en *Engine) catchUp(due, now time.Time) time.Time {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	step := en.stepTime()
 	if behind := now.Sub(due) - maxCatchUp; behind > 0 {
 		lost := int64(behind / step)
-		en.lost += lost
+		en.lostSteps += lost
 		due = due.Add(time.Duration(lost) * step)
 	}
 	for !due.After(now) {
@@ -167,7 +171,7 @@
 	return due
 }
 
-// stepTime is longer while the engine is made slow.
+// stepTime returns the duration of a step, which the fault Slow lengthens.
 func (en *Engine) stepTime() time.Duration {
 	if en.faults.Slow > 1 {
 		return time.Duration(float64(en.opts.Step) * en.faults.Slow)
@@ -175,25 +179,25 @@
 	return en.opts.Step
 }
 
-// Used returns the memory that requests and exports hold, in tokens, shared cache blocks counted once.
+// Used returns the memory that requests and exports hold, in tokens. Shared cache blocks are counted once.
 func (en *Engine) Used() int64 {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.held()
+	return en.usedTokens()
 }
 
-func (en *Engine) held() int64 {
-	return en.used + en.cache.pinnedTokens() + en.exports.tokens()
+func (en *Engine) usedTokens() int64 {
+	return en.reservedTokens + en.cache.pinnedTokens() + en.exports.tokens()
 }
 
-// Handler serves the engine's API.
+// Handler returns the handler of the engine's API.
 func (en *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", en.complete)
 	mux.HandleFunc("POST /v1/chat/completions", en.complete)
 	mux.HandleFunc("POST /v1/prefill", en.prefillSegment)
 	mux.HandleFunc("DELETE /v1/requests/{id}", en.drop)
-	mux.HandleFunc("GET /v1/exports", en.export)
+	mux.HandleFunc("GET /v1/exports", en.checkExport)
 	mux.HandleFunc("GET /v1/load", en.load)
 	mux.HandleFunc("GET /v1/cache/events", en.cacheEvents)
 	mux.HandleFunc("POST /v1/orders", en.order)
@@ -202,6 +206,7 @@
 	return mux
 }
 
+// refuse answers that the request was not run.
 func refuse(w http.ResponseWriter, status int, message string) {
 	w.Header().Set(upstr.HeaderRun, upstr.RunStateNotRun)
 	w.Header().Set("Retry-After", "0.1")
--- a/internal/stand/engine_batch.go
+++ b/internal/stand/engine_batch.go
@@ -2,107 +2,112 @@
 
 import "time"
 
-// job is one request in the engine: a completion, or the prefill of one segment, which has no answer.
+// job is one request in the engine: a completion, or the prefill of a segment, which has no answer.
 type job struct {
 	id string
-	// key names the content of the prompt.
-	key uint32
-	// start is the first position computed here; what is before it is imported.
+	// promptHash is the fingerprint of the prompt.
+	promptHash uint32
+	// start is the first position that this engine computes; the positions before it are imported.
 	start int64
-	// target is the position up to which prefill goes; a resumed answer counts as prompt.
+	// target is the position at which prefill ends. The known part of a resumed answer counts as prompt.
 	target int64
-	// prefilled is the position reached.
+	// prefilled is the position that prefill has reached.
 	prefilled int64
-	// spent is cost paid towards the next position, below its cost.
-	spent float64
-	// answer is the length of the answer, and next the next token of it.
-	answer int64
-	next   int64
-	// memory is what the job reserves: its positions and its answer, without the cache blocks it shares.
+	// partialCost is the budget already spent on the next position, less than the position costs.
+	partialCost float64
+	// answerTokens is the length of the answer, 0 for a segment.
+	answerTokens int64
+	// nextToken is the index of the answer's token that is decoded next.
+	nextToken int64
+	// memory is the number of tokens that the job reserves: its positions and its answer, without pinned cache blocks.
 	memory int64
-	// prefixes name the blocks of the prompt; pinned is how many of them it holds in the cache.
+	// prefixes are the chained hashes of the prompt's blocks.
 	prefixes []uint64
+	// pinned is the number of leading blocks that the job pins in the cache.
 	pinned   int
 	priority int
 	admitted bool
-	// triedAt is the engine's count of freed memory when the job last found no room.
-	triedAt int64
-	// cancelled tells that the job ended before its whole answer.
+	// failedFreeCount is the engine's freeCount at the job's last failed attempt to reserve memory, -1 before the first.
+	failedFreeCount int64
+	// cancelled is true if the job ended before its answer was complete.
 	cancelled bool
-	tokens    chan int64
-	done      <-chan struct{}
+	// tokens receives the index of each decoded token and is closed when the job ends.
+	tokens chan int64
+	// done is closed when the caller leaves.
+	done <-chan struct{}
 }
 
 func (jb *job) isSegment() bool {
-	return jb.answer == 0
+	return jb.answerTokens == 0
 }
 
 func (jb *job) finished() bool {
-	return jb.prefilled >= jb.target && jb.next >= jb.answer
+	return jb.prefilled >= jb.target && jb.nextToken >= jb.answerTokens
 }
 
-// step makes one step of the batch; the lock is held.
+// step makes one step of the batch. The caller holds the lock.
 func (en *Engine) step(now time.Time) {
 	en.steps++
 	en.removeEnded()
 	en.admit()
 	budget := float64(en.opts.PrefillChunk)
 	for _, jb := range en.jobs {
-		if jb.decodes() {
+		if jb.isDecoding() {
 			budget--
 		}
 	}
 	en.work += float64(en.opts.PrefillChunk) - en.prefill(budget)
 	for _, jb := range en.jobs {
-		if jb.decodes() {
-			jb.tokens <- jb.next
-			jb.next++
+		if jb.isDecoding() {
+			jb.tokens <- jb.nextToken
+			jb.nextToken++
 		}
 	}
 	en.removeEnded()
-	en.report(now)
+	en.recordLoad(now)
 	en.log.flush(now, en)
 }
 
-func (jb *job) decodes() bool {
-	return jb.admitted && jb.prefilled >= jb.target && jb.next < jb.answer
+// isDecoding reports whether the job is prefilled and has tokens left to decode.
+func (jb *job) isDecoding() bool {
+	return jb.admitted && jb.prefilled >= jb.target && jb.nextToken < jb.answerTokens
 }
 
-// removeEnded frees the memory of requests that are whole, dropped, or whose caller left.
+// removeEnded removes the jobs that are finished or cancelled or whose caller left, and releases their memory.
 func (en *Engine) removeEnded() {
 	kept := en.jobs[:0]
 	for _, jb := range en.jobs {
-		if !jb.finished() && !jb.cancelled && !closed(jb.done) {
+		if !jb.finished() && !jb.cancelled && !isClosed(jb.done) {
 			kept = append(kept, jb)
 			continue
 		}
 		jb.cancelled = !jb.finished()
-		en.free(jb)
+		en.release(jb)
 		close(jb.tokens)
 	}
 	clear(en.jobs[len(kept):])
 	en.jobs = kept
 }
 
-// free gives back what an admitted job holds. The blocks it computed stay in the cache until they are evicted; those
-// of a segment are exported instead.
-func (en *Engine) free(jb *job) {
+// release frees the memory of an admitted job. The blocks that it computed stay in the cache until they are evicted; a
+// finished segment is exported instead.
+func (en *Engine) release(jb *job) {
 	if !jb.admitted {
 		return
 	}
-	en.used -= jb.memory
-	en.freed++
+	en.reservedTokens -= jb.memory
+	en.freeCount++
 	en.cache.unpin(jb.prefixes[:jb.pinned])
 	switch {
 	case jb.cancelled:
 	case jb.isSegment():
-		en.exports.add(jb.id, segment{From: jb.start, To: jb.target}, jb.key)
+		en.exports.add(jb.id, segment{From: jb.start, To: jb.target}, jb.promptHash)
 	default:
 		delete(en.exports, jb.id)
 	}
 }
 
-func closed(done <-chan struct{}) bool {
+func isClosed(done <-chan struct{}) bool {
 	select {
 	case <-done:
 		return true
@@ -111,8 +116,8 @@
 	}
 }
 
-// admit gives memory to waiting requests by priority, then by arrival. The first that does not fit holds up the
-// others, so that a long prompt cannot starve behind short ones of its own priority.
+// admit reserves memory for waiting requests by priority, then by arrival. The first request that does not fit blocks the
+// others; otherwise a long prompt would starve behind short ones of the same priority.
 func (en *Engine) admit() {
 	running := 0
 	for _, jb := range en.jobs {
@@ -129,6 +134,7 @@
 	}
 }
 
+// nextWaiting returns the oldest waiting job of the highest priority, or nil if none waits.
 func (en *Engine) nextWaiting() *job {
 	var best *job
 	for _, jb := range en.jobs {
@@ -139,40 +145,40 @@
 	return best
 }
 
-// reserve takes the job's whole memory, prompt and answer, so that nothing admitted is ever preempted. Cached leading
-// blocks are shared, and blocks that no request holds are evicted for what is missing.
+// reserve reserves memory for the job's whole prompt and answer, so that an admitted job is never preempted, and reports
+// whether there was room. Cached leading blocks are shared, and unpinned blocks are evicted to make room.
 func (en *Engine) reserve(jb *job) bool {
-	if jb.triedAt == en.freed {
+	if jb.failedFreeCount == en.freeCount {
 		return false
 	}
 	hits := 0
 	if jb.start == 0 && !jb.isSegment() {
 		hits = en.cache.match(jb.prefixes)
 	}
-	// At least the last position has to be computed for there to be a first token.
+	// At least the last position must be computed, since the first token of the answer results from it.
 	for int64(hits)*blockTokens >= jb.target {
 		hits--
 	}
 	en.cache.pin(jb.prefixes[:hits])
 	shared := int64(hits) * blockTokens
 	need := jb.memory - shared
-	room := en.opts.MemoryTokens - en.held()
+	room := en.opts.MemoryTokens - en.usedTokens()
 	if need > room {
 		en.cache.unpin(jb.prefixes[:hits])
-		jb.triedAt = en.freed
+		jb.failedFreeCount = en.freeCount
 		return false
 	}
-	en.log.removed(en.cache.evict(room - need))
+	en.log.recordRemoved(en.cache.evict(room - need))
 	jb.admitted = true
 	jb.pinned = hits
 	jb.memory = need
 	jb.prefilled = max(jb.prefilled, shared)
-	en.used += need
+	en.reservedTokens += need
 	return true
 }
 
-// prefill spends what is left of a step's budget on the admitted requests by priority, then by arrival. It returns what
-// nobody needed.
+// prefill spends the budget left in a step on the admitted requests by priority, then by arrival. It returns the budget
+// that no request needed.
 func (en *Engine) prefill(budget float64) float64 {
 	for budget > 0 {
 		var best *job
@@ -189,7 +195,7 @@
 	return 0
 }
 
-// cost is the work of one position: attention makes a late one dearer.
+// cost returns the cost of prefilling one position, which attention makes grow with the position.
 func (en *Engine) cost(position int64) float64 {
 	if en.opts.AttentionTokens <= 0 {
 		return 1
@@ -197,41 +203,42 @@
 	return 1 + float64(position)/float64(en.opts.AttentionTokens)
 }
 
-// advance prefills one job as far as the budget goes and returns what is left. The cost is taken as even over one
-// step, whose few positions hardly differ.
+// advance prefills one job as far as the budget allows and returns the rest of the budget. All positions of one step are
+// charged the cost of the first one, since the costs of so few positions hardly differ.
 func (en *Engine) advance(jb *job, budget float64) float64 {
 	cost := en.cost(jb.prefilled)
-	budget += jb.spent
-	jb.spent = 0
+	budget += jb.partialCost
+	jb.partialCost = 0
 	part := min(int64(budget/cost), jb.target-jb.prefilled)
 	jb.prefilled += part
 	budget -= float64(part) * cost
 	if jb.prefilled < jb.target {
-		jb.spent = budget
+		jb.partialCost = budget
 		return 0
 	}
-	en.share(jb)
+	en.shareBlocks(jb)
 	return budget
 }
 
-// share moves the whole blocks that a prompt computed from its own memory into the cache, where others find them.
-func (en *Engine) share(jb *job) {
+// shareBlocks moves the complete blocks of a prefilled prompt from the job's own memory into the cache, where other requests
+// can use them. Jobs with imports and segments share nothing.
+func (en *Engine) shareBlocks(jb *job) {
 	if jb.start > 0 || jb.isSegment() {
 		return
 	}
-	en.freed++
+	en.freeCount++
 	for _, hash := range jb.prefixes[jb.pinned:] {
 		if en.cache.add(hash) {
-			en.log.added(hash)
+			en.log.recordAdded(hash)
 		}
 		en.cache.pin([]uint64{hash})
 		jb.pinned++
 		jb.memory -= blockTokens
-		en.used -= blockTokens
+		en.reservedTokens -= blockTokens
 	}
 }
 
-// queuedWork is the prompt work accepted and not done.
+// queuedWork returns the number of accepted prompt tokens that are not prefilled yet.
 func (en *Engine) queuedWork() int64 {
 	var work int64
 	for _, jb := range en.jobs {
--- a/internal/stand/engine_cache.go
+++ b/internal/stand/engine_cache.go
@@ -6,22 +6,23 @@
 	"dandelionsail.example/dandelionsail/internal/body"
 )
 
+// blockTokens is the number of prompt tokens in a block.
 const blockTokens = body.BlockTokens
 
-// block is one cached run of prompt tokens.
+// block is a cached block of prompt tokens.
 type block struct {
 	hash uint64
-	// pins counts the requests that hold it; it can be evicted at 0.
+	// pins counts the requests that use the block. At 0 it can be evicted.
 	pins int
-	// place is its place among the blocks that nobody holds, nil while somebody does.
-	place *list.Element
+	// idleElement is the block's element in the list of idle blocks, nil while it is pinned.
+	idleElement *list.Element
 }
 
-// prefixCache holds computed blocks by the chained hash of the prompt up to their end. Blocks that no request holds
+// prefixCache holds computed blocks, keyed by the chained hash of the prompt up to the end of the block. Unpinned blocks
 // are evicted, the least recently used first.
 type prefixCache struct {
 	blocks map[uint64]*block
-	// idle has the blocks with no pins, the one to evict next in front.
+	// idle lists the blocks without pins. The front one is evicted next.
 	idle *list.List
 }
 
@@ -29,7 +30,7 @@
 	return &prefixCache{blocks: map[uint64]*block{}, idle: list.New()}
 }
 
-// match returns how many leading blocks are there.
+// match returns the number of leading blocks that are cached.
 func (pc *prefixCache) match(prefixes []uint64) int {
 	for i, hash := range prefixes {
 		if pc.blocks[hash] == nil {
@@ -39,35 +40,37 @@
 	return len(prefixes)
 }
 
-// add puts in a block that nobody holds and reports whether it is new.
+// add adds the block without pins unless it is cached already, and reports whether it was new.
 func (pc *prefixCache) add(hash uint64) bool {
 	if pc.blocks[hash] != nil {
 		return false
 	}
 	bk := &block{hash: hash}
-	bk.place = pc.idle.PushBack(bk)
+	bk.idleElement = pc.idle.PushBack(bk)
 	pc.blocks[hash] = bk
 	return true
 }
 
+// pin pins the blocks, which must be cached.
 func (pc *prefixCache) pin(prefixes []uint64) {
 	for _, hash := range prefixes {
 		bk := pc.blocks[hash]
 		bk.pins++
-		if bk.place != nil {
-			pc.idle.Remove(bk.place)
-			bk.place = nil
+		if bk.idleElement != nil {
+			pc.idle.Remove(bk.idleElement)
+			bk.idleElement = nil
 		}
 	}
 }
 
-// unpin lets go from the end, so that the ends of prompts are evicted before the beginnings that others may share.
+// unpin unpins the blocks from the last to the first, so that the end of a prompt is evicted before its beginning, which
+// other prompts may share.
 func (pc *prefixCache) unpin(prefixes []uint64) {
 	for i := len(prefixes) - 1; i >= 0; i-- {
 		bk := pc.blocks[prefixes[i]]
 		bk.pins--
 		if bk.pins == 0 {
-			bk.place = pc.idle.PushBack(bk)
+			bk.idleElement = pc.idle.PushBack(bk)
 		}
 	}
 }
@@ -76,13 +79,14 @@
 	return int64(len(pc.blocks)-pc.idle.Len()) * blockTokens
 }
 
-// evict drops idle blocks until they take at most the tokens, and returns them.
+// evict removes idle blocks until the remaining ones take up at most the given tokens. It returns the hashes of the removed
+// blocks.
 func (pc *prefixCache) evict(tokens int64) []uint64 {
-	var dropped []uint64
+	var evicted []uint64
 	for int64(pc.idle.Len())*blockTokens > tokens {
 		bk := pc.idle.Remove(pc.idle.Front()).(*block)
 		delete(pc.blocks, bk.hash)
-		dropped = append(dropped, bk.hash)
+		evicted = append(evicted, bk.hash)
 	}
-	return dropped
+	return evicted
 }
--- a/internal/stand/engine_events.go
+++ b/internal/stand/engine_events.go
@@ -11,29 +11,32 @@
 )
 
 const (
-	// batchesKept is how many batches of cache events can be read back.
-	batchesKept = 256
-	// pollTime is how long a read of cache events waits for the next batch.
-	pollTime = 5 * time.Second
+	// maxReadyBatches is the maximum number of batches of cache events that are kept for readers.
+	maxReadyBatches = 256
+	// maxPollWait is the maximum time that a read of cache events waits for the next batch.
+	maxPollWait = 5 * time.Second
 )
 
+// timedBatch is a batch with the time at which it was closed.
 type timedBatch struct {
 	at    time.Time
 	batch event.CacheChanged
 }
 
-// cacheLog gathers cache events into batches that can be read some time later; some are lost.
+// cacheLog collects cache events in batches, which can be read after a lag. Some batches are lost.
 type cacheLog struct {
-	// last numbers the events from 1.
+	// last is the sequence number of the last event; the first event has number 1.
 	last int64
-	// first, cleared and net make the open batch; net tells for each block whether it came or went.
-	first   int64
+	// first is the sequence number of the first event in the open batch.
+	first int64
+	// cleared reports whether the cache was cleared during the open batch.
 	cleared bool
-	net     map[uint64]bool
-	since   time.Time
-	waiting []timedBatch
-	ready   []event.CacheChanged
-	// changed is closed and replaced when a batch can be read.
+	// net has the net changes of the open batch by block hash: true if the block was added, false if it was removed.
+	net      map[uint64]bool
+	openedAt time.Time
+	pending  []timedBatch
+	ready    []event.CacheChanged
+	// changed is closed and replaced when a batch becomes readable.
 	changed chan struct{}
 }
 
@@ -41,62 +44,65 @@
 	return cacheLog{first: 1, net: map[uint64]bool{}, changed: make(chan struct{})}
 }
 
-// added notes a block that came. One that went and came back within a batch is left out of it, since a batch has no
-// order.
-func (cl *cacheLog) added(hash uint64) {
-	cl.note(hash, true)
+// recordAdded records that a block was added.
+func (cl *cacheLog) recordAdded(hash uint64) {
+	cl.record(hash, true)
 }
 
-func (cl *cacheLog) removed(hashes []uint64) {
+// recordRemoved records that blocks were evicted.
+func (cl *cacheLog) recordRemoved(hashes []uint64) {
 	for _, hash := range hashes {
-		cl.note(hash, false)
+		cl.record(hash, false)
 	}
 }
 
-func (cl *cacheLog) note(hash uint64, came bool) {
+// record records one event in the open batch. A removal and an addition of the same block in one batch cancel each other,
+// since the events of a batch have no order.
+func (cl *cacheLog) record(hash uint64, added bool) {
 	cl.last++
-	if before, ok := cl.net[hash]; ok && before != came {
+	if before, ok := cl.net[hash]; ok && before != added {
 		delete(cl.net, hash)
 		return
 	}
-	cl.net[hash] = came
+	cl.net[hash] = added
 }
 
-// emptied notes that the whole cache is gone.
-func (cl *cacheLog) emptied() {
+// recordCleared records that the whole cache was lost.
+func (cl *cacheLog) recordCleared() {
 	cl.last++
 	cl.cleared = true
 	clear(cl.net)
 }
 
-// flush closes the batch when its time is over and lets those be read whose lag has passed.
+// flush closes the open batch when its period is over and publishes the batches whose lag has passed.
 func (cl *cacheLog) flush(now time.Time, en *Engine) {
-	if now.Sub(cl.since) >= en.opts.CachePeriod {
+	if now.Sub(cl.openedAt) >= en.opts.CachePeriod {
 		cl.close(now, en.random.Float64() < en.opts.CacheGap)
 	}
-	arrived := false
-	for len(cl.waiting) > 0 && now.Sub(cl.waiting[0].at) >= en.opts.CacheLag {
-		cl.ready = append(cl.ready, cl.waiting[0].batch)
-		cl.waiting = cl.waiting[1:]
-		arrived = true
+	published := false
+	for len(cl.pending) > 0 && now.Sub(cl.pending[0].at) >= en.opts.CacheLag {
+		cl.ready = append(cl.ready, cl.pending[0].batch)
+		cl.pending = cl.pending[1:]
+		published = true
 	}
-	if over := len(cl.ready) - batchesKept; over > 0 {
+	if over := len(cl.ready) - maxReadyBatches; over > 0 {
 		cl.ready = slices.Clone(cl.ready[over:])
 	}
-	if arrived {
+	if published {
 		close(cl.changed)
 		cl.changed = make(chan struct{})
 	}
 }
 
+// close closes the open batch unless it is empty. A lost batch is discarded.
 func (cl *cacheLog) close(now time.Time, lost bool) {
-	cl.since = now
+	cl.openedAt = now
 	if cl.first > cl.last {
 		return
 	}
 	batch := event.CacheChanged{First: cl.first, Last: cl.last, Cleared: cl.cleared}
-	for hash, came := range cl.net {
-		if came {
+	for hash, added := range cl.net {
+		if added {
 			batch.Added = append(batch.Added, hash)
 		} else {
 			batch.Removed = append(batch.Removed, hash)
@@ -106,13 +112,13 @@
 	cl.cleared = false
 	clear(cl.net)
 	if !lost {
-		cl.waiting = append(cl.waiting, timedBatch{now, batch})
+		cl.pending = append(cl.pending, timedBatch{now, batch})
 	}
 }
 
-// after returns the batches behind the number. A reader with a number that was never given out read an earlier run of
-// the engine, whose cache is gone.
-func (cl *cacheLog) after(number int64) []event.CacheChanged {
+// batchesAfter returns the batches after the event with the given sequence number. A number higher than any assigned one
+// comes from an earlier run of the engine, whose cache is lost; the result then starts with a batch that clears the cache.
+func (cl *cacheLog) batchesAfter(number int64) []event.CacheChanged {
 	if number > cl.last {
 		return append([]event.CacheChanged{{Cleared: true}}, cl.ready...)
 	}
@@ -125,18 +131,18 @@
 	return batches
 }
 
-// cacheEvents answers with the batches after a number, waiting for some time if there are none.
+// cacheEvents answers with the batches after a sequence number. If there are none, it waits up to maxPollWait.
 func (en *Engine) cacheEvents(w http.ResponseWriter, req *http.Request) {
 	number, err := strconv.ParseInt(req.FormValue("after"), 10, 64)
 	if err != nil {
 		http.Error(w, "give after as a whole number", http.StatusBadRequest)
 		return
 	}
-	limit := time.NewTimer(pollTime)
+	limit := time.NewTimer(maxPollWait)
 	defer limit.Stop()
 	for {
 		en.mu.Lock()
-		batches, changed := en.log.after(number), en.log.changed
+		batches, changed := en.log.batchesAfter(number), en.log.changed
 		en.mu.Unlock()
 		if len(batches) > 0 {
 			_ = json.NewEncoder(w).Encode(batches)
--- a/internal/stand/engine_exports.go
+++ b/internal/stand/engine_exports.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// segment is a run of prompt positions, From included and To not.
+// segment is a range of prompt positions, from From up to but not including To.
 type segment struct{ From, To int64 }
 
 func parseSegment(text string) (segment, error) {
@@ -27,17 +27,17 @@
 	return segment{start, end}, nil
 }
 
-// handle names an exported segment and the engine that holds it.
+// handle identifies an exported segment and the engine that holds it.
 type handle struct {
-	Address string
-	Request string
-	Key     uint32
-	Segment segment
+	Address    string
+	Request    string
+	PromptHash uint32
+	Segment    segment
 }
 
-// String is the text that travels in headers.
+// String returns the handle as it is sent in headers.
 func (hd handle) String() string {
-	return fmt.Sprintf("%s/%s/%08x/%d-%d", hd.Address, url.PathEscape(hd.Request), hd.Key, hd.Segment.From, hd.Segment.To)
+	return fmt.Sprintf("%s/%s/%08x/%d-%d", hd.Address, url.PathEscape(hd.Request), hd.PromptHash, hd.Segment.From, hd.Segment.To)
 }
 
 func parseHandle(text string) (handle, error) {
@@ -58,13 +58,13 @@
 	if err != nil {
 		return handle{}, bad
 	}
-	return handle{Address: parts[0], Request: id, Key: uint32(key), Segment: part}, nil
+	return handle{Address: parts[0], Request: id, PromptHash: uint32(key), Segment: part}, nil
 }
 
-// checkClient asks other engines for their exports.
+// checkClient is the client for checks of other engines' exports.
 var checkClient = &http.Client{Timeout: 2 * time.Second}
 
-// check asks the holder whether it still has the segment.
+// check asks the engine that holds the segment whether it still does, and returns an error if not.
 func (hd handle) check(ctx context.Context) error {
 	query := url.Values{"handle": {hd.String()}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+hd.Address+"/v1/exports?"+query.Encode(), nil)
@@ -82,49 +82,50 @@
 	return nil
 }
 
-type held struct {
-	key   uint32
-	parts []segment
+// requestExports has the exported segments of one request.
+type requestExports struct {
+	promptHash uint32
+	segments   []segment
 }
 
-// exports holds what was exported, by request. It stays until its request is dropped or ends here: an engine knows
-// nothing of the end of a request elsewhere.
-type exports map[string]held
+// exports has the exported segments by request ID. They are kept until the request is dropped or completes on this engine,
+// since an engine is not informed when a request ends on another one.
+type exports map[string]requestExports
 
 func (ex exports) add(id string, part segment, key uint32) {
-	ex[id] = held{key: key, parts: append(ex[id].parts, part)}
+	ex[id] = requestExports{promptHash: key, segments: append(ex[id].segments, part)}
 }
 
 func (ex exports) tokens() int64 {
 	var total int64
-	for _, hd := range ex {
-		total += hd.tokens()
+	for _, re := range ex {
+		total += re.tokens()
 	}
 	return total
 }
 
-func (hd held) tokens() int64 {
+func (re requestExports) tokens() int64 {
 	var total int64
-	for _, part := range hd.parts {
+	for _, part := range re.segments {
 		total += part.To - part.From
 	}
 	return total
 }
 
-func (ex exports) has(hd handle) bool {
-	own, ok := ex[hd.Request]
-	return ok && own.key == hd.Key && slices.Contains(own.parts, hd.Segment)
+func (ex exports) contains(hd handle) bool {
+	re, ok := ex[hd.Request]
+	return ok && re.promptHash == hd.PromptHash && slices.Contains(re.segments, hd.Segment)
 }
 
-// export answers another engine that wants to import a segment.
-func (en *Engine) export(w http.ResponseWriter, req *http.Request) {
+// checkExport answers whether this engine holds the segment that another engine wants to import.
+func (en *Engine) checkExport(w http.ResponseWriter, req *http.Request) {
 	hd, err := parseHandle(req.FormValue("handle"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	en.mu.Lock()
-	found := en.exports.has(hd)
+	found := en.exports.contains(hd)
 	en.mu.Unlock()
 	if !found {
 		http.NotFound(w, req)
--- a/internal/stand/engine_faults.go
+++ b/internal/stand/engine_faults.go
@@ -9,23 +9,27 @@
 	"dandelionsail.example/dandelionsail/internal/body"
 )
 
-// EngineFaults are what goes wrong in an engine from now on; the zero value is none.
+// EngineFaults are the faults injected into an engine. The zero value injects none. Shares are from 0 to 1.
 type EngineFaults struct {
-	// Cross, Cut, Repeat, Drop and Delay are the shares of chunks that are preceded by a chunk of another request, end
-	// the connection, come twice, never come, or come late by DelayTime.
-	Cross     float64
-	Cut       float64
-	Repeat    float64
-	Drop      float64
-	Delay     float64
+	// Cross is the share of chunks that are preceded by a chunk of another request.
+	Cross float64
+	// Cut is the share of chunks at which the connection is cut instead.
+	Cut float64
+	// Repeat is the share of chunks that are sent twice.
+	Repeat float64
+	// Drop is the share of chunks that are not sent.
+	Drop float64
+	// Delay is the share of chunks that are delayed by DelayTime.
+	Delay float64
+	// DelayTime is the delay of a delayed chunk.
 	DelayTime time.Duration
 	// Freeze stops the batch while connections stay open.
 	Freeze bool
-	// Slow multiplies the time of a step, if above 1.
+	// Slow is the factor by which a step takes longer; it has no effect up to 1.
 	Slow float64
-	// Refuse turns every request away as not run.
+	// Refuse makes the engine refuse every request as not run.
 	Refuse bool
-	// Seed restarts the draws, if not 0.
+	// Seed reseeds the random draws unless it is 0.
 	Seed uint64
 }
 
@@ -39,7 +43,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults in effect.
 func (en *Engine) SetFaults(faults EngineFaults) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -49,12 +53,13 @@
 	}
 }
 
-// chunkFaults are the faults drawn for one chunk.
+// chunkFaults are the faults drawn for one chunk. The fields correspond to those of EngineFaults.
 type chunkFaults struct {
 	cross, cut, repeat, drop bool
 	delay                    time.Duration
 }
 
+// draw draws the faults of the next chunk.
 func (en *Engine) draw() chunkFaults {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -67,7 +72,7 @@
 	return cf
 }
 
-// send writes one chunk with the faults drawn for it.
+// send writes one chunk and applies the faults drawn for it.
 func (en *Engine) send(w http.ResponseWriter, jb *job, bd *body.Body, token int64) {
 	cf := en.draw()
 	time.Sleep(cf.delay)
@@ -76,7 +81,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if cf.cross {
-		other := &job{id: jb.id + "-other", key: jb.key + 1, answer: jb.answer}
+		other := &job{id: jb.id + "-other", promptHash: jb.promptHash + 1, answerTokens: jb.answerTokens}
 		writeToken(w, other, bd, token)
 	}
 	if !cf.drop {
@@ -88,7 +93,8 @@
 	_ = http.NewResponseController(w).Flush()
 }
 
-// crash ends the process, or without a process of its own loses all that is in memory.
+// crash ends the process if the engine has one of its own. Otherwise it cuts the connections and discards everything in
+// memory.
 func (en *Engine) crash() {
 	if en.opts.Crash != nil {
 		en.opts.Crash()
@@ -101,6 +107,6 @@
 	en.removeEnded()
 	en.cache = newPrefixCache()
 	en.exports = exports{}
-	en.log.emptied()
-	en.freed++
+	en.log.recordCleared()
+	en.freeCount++
 }
--- a/internal/stand/engine_orders.go
+++ b/internal/stand/engine_orders.go
@@ -16,35 +16,39 @@
 	"dandelionsail.example/dandelionsail/internal/upstr"
 )
 
-// weightsRetry is the wait after the weight store failed a load.
-const weightsRetry = 100 * time.Millisecond
+// weightsRetryDelay is the delay before a failed load is retried.
+const weightsRetryDelay = 100 * time.Millisecond
 
-// orders is what an engine was told to be and what it is.
+// orders has the role and models that orders assigned to an engine, and the models that it has loaded.
 type orders struct {
-	role   string
-	wanted []string
-	// loaded is always a part of wanted.
+	role     string
+	assigned []string
+	// loaded is always a subset of assigned.
 	loaded []string
-	// given tells that an order came; before the first one the engine serves every model that it is asked for.
-	given  bool
-	fence  int64
-	obeyed []upstr.Order
-	fenced int
-	// wake tells the loader of a new order.
+	// ordered reports whether any order was received. Before the first one, the engine serves every requested model.
+	ordered bool
+	// fence is the highest fencing number received.
+	fence int64
+	// applied are the orders that were carried out, oldest first.
+	applied []upstr.Order
+	// fencedCount counts the orders refused for an outdated fencing number.
+	fencedCount int
+	// wake wakes the loader after a new order.
 	wake chan struct{}
 }
 
 func newOrders(model string) orders {
-	return orders{role: "Mixed", wanted: []string{model}, loaded: []string{model}, wake: make(chan struct{}, 1)}
+	return orders{role: "Mixed", assigned: []string{model}, loaded: []string{model}, wake: make(chan struct{}, 1)}
 }
 
 func (od *orders) models() []string {
 	return slices.Clone(od.loaded)
 }
 
+// loading returns the assigned models that are not loaded yet.
 func (od *orders) loading() []string {
 	var missing []string
-	for _, name := range od.wanted {
+	for _, name := range od.assigned {
 		if !slices.Contains(od.loaded, name) {
 			missing = append(missing, name)
 		}
@@ -52,12 +56,13 @@
 	return missing
 }
 
-// obey takes an order: what is not wanted is unloaded at once, and what is missing is loaded one after the other.
-func (od *orders) obey(order upstr.Order) {
-	od.given = true
-	od.obeyed = append(od.obeyed, order)
-	od.wanted = slices.Clone(order.Models)
-	od.loaded = slices.DeleteFunc(od.loaded, func(name string) bool { return !slices.Contains(od.wanted, name) })
+// apply carries out an order. Models that are no longer assigned are unloaded at once; the loader loads missing ones one
+// by one.
+func (od *orders) apply(order upstr.Order) {
+	od.ordered = true
+	od.applied = append(od.applied, order)
+	od.assigned = slices.Clone(order.Models)
+	od.loaded = slices.DeleteFunc(od.loaded, func(name string) bool { return !slices.Contains(od.assigned, name) })
 	if order.Role != "" {
 		od.role = order.Role
 	}
@@ -67,8 +72,9 @@
 	}
 }
 
-// offered is the name under which callers ask for a loaded "name@version" or "name@version:adapter".
-func offered(loaded string) string {
+// publicName returns the name under which callers request a model that is loaded as "name@version" or
+// "name@version:adapter".
+func publicName(loaded string) string {
 	name, adapter, isAdapter := strings.Cut(loaded, ":")
 	name, _, _ = strings.Cut(name, "@")
 	if isAdapter {
@@ -77,13 +83,14 @@
 	return name
 }
 
+// serves reports whether the model that a caller requests is loaded.
 func (en *Engine) serves(model string) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if !en.orders.given {
+	if !en.orders.ordered {
 		return true
 	}
-	return slices.ContainsFunc(en.orders.loaded, func(name string) bool { return offered(name) == model })
+	return slices.ContainsFunc(en.orders.loaded, func(name string) bool { return publicName(name) == model })
 }
 
 func (en *Engine) order(w http.ResponseWriter, req *http.Request) {
@@ -101,16 +108,16 @@
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if en.opts.CheckFencing && fence < en.orders.fence {
-		en.orders.fenced++
+		en.orders.fencedCount++
 		refuse(w, http.StatusPreconditionFailed, "the fencing number is old")
 		return
 	}
 	en.orders.fence = max(en.orders.fence, fence)
-	en.orders.obey(order)
+	en.orders.apply(order)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// runLoader loads what is wanted and missing, one after the other, until the context ends.
+// runLoader loads the assigned models that are missing, one by one, until the context ends.
 func (en *Engine) runLoader(ctx context.Context) error {
 	for ctx.Err() == nil {
 		en.mu.Lock()
@@ -125,24 +132,24 @@
 			}
 		}
 		if err := en.loadWeights(ctx, missing[0]); err != nil {
-			delay.For(ctx, weightsRetry)
+			delay.For(ctx, weightsRetryDelay)
 			continue
 		}
-		en.loaded(missing[0])
+		en.markLoaded(missing[0])
 	}
 	return ctx.Err()
 }
 
-// loaded notes the end of a load, unless another order came meanwhile.
-func (en *Engine) loaded(name string) {
+// markLoaded records that a model is loaded, unless an order withdrew it during the load.
+func (en *Engine) markLoaded(name string) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if slices.Contains(en.orders.wanted, name) && !slices.Contains(en.orders.loaded, name) {
+	if slices.Contains(en.orders.assigned, name) && !slices.Contains(en.orders.loaded, name) {
 		en.orders.loaded = append(en.orders.loaded, name)
 	}
 }
 
-// loadWeights takes the load time, or as long as the weight store takes to hand the weights out.
+// loadWeights downloads the weights from the weight store, or waits for the load time if the engine has none.
 func (en *Engine) loadWeights(ctx context.Context, name string) error {
 	if en.opts.Weights == "" {
 		delay.For(ctx, en.opts.LoadTime)
@@ -159,7 +166,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		delay.For(ctx, upstr.RetryAfter(resp.Header))
-		return fmt.Errorf("stand: the weight store answered %s for %s; it may be busy", resp.Status, name)
+		return fmt.Errorf("stand: the weight store answered %s for %s: retry later", resp.Status, name)
 	}
 	_, err = io.Copy(io.Discard, resp.Body)
 	return err
--- a/internal/stand/engine_test.go
+++ b/internal/stand/engine_test.go
@@ -16,8 +16,8 @@
 	"dandelionsail.example/dandelionsail/internal/upstr"
 )
 
-// bench is an engine behind a real listener, with a client of it.
-type bench struct {
+// engineBench has an engine behind a real listener and clients for it.
+type engineBench struct {
 	t       *testing.T
 	engine  *stand.Engine
 	address string
@@ -25,7 +25,7 @@
 	caller  *load.Caller
 }
 
-func start(t *testing.T, change func(*stand.EngineOptions)) *bench {
+func startEngine(t *testing.T, change func(*stand.EngineOptions)) *engineBench {
 	opts := stand.DefaultEngine()
 	opts.Step = time.Millisecond
 	opts.CachePeriod = time.Millisecond
@@ -34,7 +34,7 @@
 	if change != nil {
 		change(&opts)
 	}
-	be := &bench{t: t, engine: stand.NewEngine(opts), client: upstr.New()}
+	be := &engineBench{t: t, engine: stand.NewEngine(opts), client: upstr.New()}
 	server := httptest.NewServer(be.engine.Handler())
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -50,12 +50,12 @@
 	return be
 }
 
-func (be *bench) complete(tokens int64, seed uint64, answer int64) load.Result {
+func (be *engineBench) complete(tokens int64, seed uint64, answer int64) load.Result {
 	return be.caller.Complete(be.t.Context(), "lyric", load.Prompt(tokens, seed), answer)
 }
 
-// eventually waits for what the engine's own goroutine brings about.
-func (be *bench) eventually(what string, holds func(stand.State) bool) {
+// eventually waits until the condition holds, since the engine changes its state in a goroutine of its own.
+func (be *engineBench) eventually(what string, holds func(stand.State) bool) {
 	be.t.Helper()
 	for range 2000 {
 		if holds(be.engine.State()) {
@@ -66,19 +66,19 @@
 	be.t.Fatalf("never: %s: %+v", what, be.engine.State())
 }
 
-func call(be *bench, id, raw string) upstr.Call {
+func completionCall(be *engineBench, id, raw string) upstr.Call {
 	return upstr.Call{
 		Address: be.address, Request: id, Method: http.MethodPost, Path: "/v1/completions",
 		Body: strings.NewReader(raw), Length: int64(len(raw)),
 	}
 }
 
-func document(tokens int64) string {
+func completionBody(tokens int64) string {
 	return `{"model":"lyric","stream":true,"max_tokens":4,"prompt":"` + strings.Repeat("abcd", int(tokens)) + `"}`
 }
 
-func TestEngineMemoryReturns(t *testing.T) {
-	be := start(t, nil)
+func TestEngineFreesMemoryOfCompletedRequests(t *testing.T) {
+	be := startEngine(t, nil)
 	for seed := range uint64(3) {
 		assert.Equal(t, be.complete(5000, seed, 8).Outcome, load.OutcomeWhole)
 	}
@@ -86,8 +86,8 @@
 	assert.Equal(t, be.engine.State().CachedTokens, int64(3*(5000/256)*256))
 }
 
-func TestEngineEvictsForRoom(t *testing.T) {
-	be := start(t, func(opts *stand.EngineOptions) { opts.MemoryTokens = 8000 })
+func TestEngineEvictsCachedBlocks(t *testing.T) {
+	be := startEngine(t, func(opts *stand.EngineOptions) { opts.MemoryTokens = 8000 })
 	for seed := range uint64(4) {
 		assert.Equal(t, be.complete(5000, seed, 8).Outcome, load.OutcomeWhole)
 	}
@@ -97,29 +97,29 @@
 }
 
 func TestEngineSkipsCachedPrefill(t *testing.T) {
-	be := start(t, func(opts *stand.EngineOptions) { opts.PrefillChunk = 10 })
+	be := startEngine(t, func(opts *stand.EngineOptions) { opts.PrefillChunk = 10 })
 	assert.Equal(t, be.complete(5000, 1, 2).Outcome, load.OutcomeWhole)
 	before := be.engine.State().Steps
 	assert.Equal(t, be.complete(5000, 1, 2).Outcome, load.OutcomeWhole)
-	// Only what is behind the last whole block is left to prefill: under 256 positions, which is 26 steps of ten. The
-	// engine also steps while nothing is there, so the bound is a loose one below the 500 steps of a whole prefill.
+	// Only the positions after the last complete block are left to prefill: fewer than 256, which take 26 steps of ten. The
+	// engine also makes steps while idle, so the bound is loose, but below the 500 steps of a complete prefill.
 	assert.Assert(t, be.engine.State().Steps-before < 400)
 }
 
-func TestEngineFreesWhatIsCancelled(t *testing.T) {
-	// A caller leaves, or its instance drops the request, while the engine holds memory for it.
-	// The engine frees the memory in its next step and the stream does not end as if it were whole.
-	cases := map[string]func(be *bench, stream upstr.Stream){
-		"connection closed": func(_ *bench, stream upstr.Stream) { _ = stream.Close() },
-		"dropped": func(be *bench, _ upstr.Stream) {
+func TestEngineFreesCancelledRequests(t *testing.T) {
+	// A caller leaves, or its instance drops the request, while the engine holds memory for it. The engine must free the
+	// memory in its next step, and the stream must not end like that of a complete answer.
+	cases := map[string]func(be *engineBench, stream upstr.Stream){
+		"connection closed": func(_ *engineBench, stream upstr.Stream) { _ = stream.Close() },
+		"request dropped": func(be *engineBench, _ upstr.Stream) {
 			assert.NilError(be.t, be.client.Drop(be.t.Context(), be.address, "r1"))
 		},
 	}
 	for name, end := range cases {
 		t.Run(name, func(t *testing.T) {
-			be := start(t, nil)
+			be := startEngine(t, nil)
 			be.engine.SetFaults(stand.EngineFaults{Slow: 50})
-			long := call(be, "r1", strings.Replace(document(1000), `"max_tokens":4`, `"max_tokens":4000`, 1))
+			long := completionCall(be, "r1", strings.Replace(completionBody(1000), `"max_tokens":4`, `"max_tokens":4000`, 1))
 			stream, err := be.client.Complete(t.Context(), long)
 			assert.NilError(t, err)
 			be.eventually("memory held", func(st stand.State) bool { return st.UsedTokens > 0 })
@@ -133,23 +133,23 @@
 	}
 }
 
-func TestEngineSegments(t *testing.T) {
-	// A prompt of more than one engine's memory is prefilled in three engines in turn; the last one generates.
-	// The first segment's holder then drops it, and whoever still imports it must hear that it is gone.
+func TestEnginePrefillSegments(t *testing.T) {
+	// A prompt that is larger than the memory of one engine is prefilled by three engines in turn, and the last one generates
+	// the answer. Once the holders have dropped their segments, a request that still imports them must be refused.
 	small := func(opts *stand.EngineOptions) { opts.MemoryTokens = 5000 }
-	first, second, last := start(t, small), start(t, small), start(t, small)
-	raw := document(12_000)
-	prefill := func(be *bench, from, to int64, imports ...string) string {
-		part := call(be, "r1", raw)
+	first, second, last := startEngine(t, small), startEngine(t, small), startEngine(t, small)
+	raw := completionBody(12_000)
+	prefill := func(be *engineBench, from, to int64, imports ...string) string {
+		part := completionCall(be, "r1", raw)
 		part.Imports = imports
 		handle, err := be.client.Prefill(t.Context(), part, from, to)
 		assert.NilError(t, err)
 		return handle
 	}
-	one := prefill(first, 0, 4500)
-	two := prefill(second, 4500, 9000, one)
-	end := call(last, "r1", raw)
-	end.Imports = []string{one, two}
+	firstHandle := prefill(first, 0, 4500)
+	secondHandle := prefill(second, 4500, 9000, firstHandle)
+	end := completionCall(last, "r1", raw)
+	end.Imports = []string{firstHandle, secondHandle}
 	stream, err := last.client.Complete(t.Context(), end)
 	assert.NilError(t, err)
 	tokens := 0
@@ -160,18 +160,18 @@
 	assert.Equal(t, err.Error(), "EOF")
 	assert.Equal(t, tokens-1, 4)
 	assert.Equal(t, first.engine.State().Exports["r1"], int64(4500))
-	for _, be := range []*bench{first, second} {
+	for _, be := range []*engineBench{first, second} {
 		assert.NilError(t, be.client.Drop(t.Context(), be.address, "r1"))
 		be.eventually("exports free", func(st stand.State) bool { return st.UsedTokens == 0 })
 	}
-	again := call(last, "r2", raw)
-	again.Imports = []string{one, two}
+	again := completionCall(last, "r2", raw)
+	again.Imports = []string{firstHandle, secondHandle}
 	_, err = last.client.Complete(t.Context(), again)
 	assert.Assert(t, errorx.IsOfType(err, upstr.NotRun), "%v", err)
 }
 
 func TestEngineCacheEvents(t *testing.T) {
-	be := start(t, func(opts *stand.EngineOptions) { opts.MemoryTokens = 8000 })
+	be := startEngine(t, func(opts *stand.EngineOptions) { opts.MemoryTokens = 8000 })
 	assert.Equal(t, be.complete(5120, 1, 2).Outcome, load.OutcomeWhole)
 	batches, err := be.client.CacheEvents(t.Context(), be.address, 0)
 	assert.NilError(t, err)
@@ -187,22 +187,23 @@
 }
 
 func TestEngineFaults(t *testing.T) {
-	// An upstream's answers come crossed, doubled, with holes or cut; the reader must notice each.
+	// An engine's stream has chunks of another request, repeated or missing chunks, or is cut. The reader must skip foreign
+	// and repeated chunks, and must not take a stream with missing chunks or a cut one for a complete answer.
 	cases := map[string]struct {
 		faults stand.EngineFaults
 		whole  bool
 	}{
-		"none":     {stand.EngineFaults{}, true},
-		"crossed":  {stand.EngineFaults{Cross: 1}, true},
-		"repeated": {stand.EngineFaults{Repeat: 1}, true},
-		"dropped":  {stand.EngineFaults{Drop: 1}, false},
-		"cut":      {stand.EngineFaults{Cut: 1}, false},
+		"no faults":                 {stand.EngineFaults{}, true},
+		"chunks of another request": {stand.EngineFaults{Cross: 1}, true},
+		"repeated chunks":           {stand.EngineFaults{Repeat: 1}, true},
+		"dropped chunks":            {stand.EngineFaults{Drop: 1}, false},
+		"connection cut":            {stand.EngineFaults{Cut: 1}, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			be := start(t, nil)
+			be := startEngine(t, nil)
 			be.engine.SetFaults(tc.faults)
-			stream, err := be.client.Complete(t.Context(), call(be, "r1", document(100)))
+			stream, err := be.client.Complete(t.Context(), completionCall(be, "r1", completionBody(100)))
 			tokens := -1
 			for err == nil {
 				tokens++
@@ -213,11 +214,12 @@
 	}
 }
 
-func TestEngineOrders(t *testing.T) {
-	// An old lease holder's order comes late. An engine that checks the number refuses it; one that does not obeys it.
-	for name, checks := range map[string]bool{"checks": true, "ignores": false} {
+func TestEngineFencesOrders(t *testing.T) {
+	// The order of a previous lease holder arrives late. An engine that checks fencing numbers refuses it; one that does not
+	// check them carries it out.
+	for name, checks := range map[string]bool{"fencing checked": true, "fencing not checked": false} {
 		t.Run(name, func(t *testing.T) {
-			be := start(t, func(opts *stand.EngineOptions) { opts.CheckFencing = checks })
+			be := startEngine(t, func(opts *stand.EngineOptions) { opts.CheckFencing = checks })
 			assert.NilError(t, be.client.Order(t.Context(), be.address, upstr.Order{Fence: 2, Models: []string{"lyric@2"}, Role: "Decode"}))
 			be.eventually("loaded", func(st stand.State) bool { return len(st.Models) == 1 && st.Models[0] == "lyric@2" })
 			err := be.client.Order(t.Context(), be.address, upstr.Order{Fence: 1, Models: []string{"lyric@1"}})
--- a/internal/stand/faults.go
+++ b/internal/stand/faults.go
@@ -14,57 +14,57 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Paths by which a test steers the platform stand-in.
+// Paths at which tests control and inspect the platform stand-in.
 const (
-	// PathFaults takes a Faults document by POST, which replaces the one in force.
+	// PathFaults accepts a Faults document by POST, which replaces the current one.
 	PathFaults = "/stand/faults"
-	// PathCalls answers with a Calls document.
+	// PathCalls serves a Calls document.
 	PathCalls = "/stand/calls"
 )
 
-// Faults are what is wrong with the key-value service. The zero value is a sound one.
+// Faults are the faults injected into the platform stand-in. The zero value injects none.
 type Faults struct {
-	// Outage ends every call without an answer and without effect, watches too.
+	// Outage ends every call of the key-value service, watches included, without an answer and without effect.
 	Outage bool
 	// Delay is added to each call before it takes effect.
 	Delay decl.Duration
-	// LostAnswers is the share of writes, 0 to 1, that take effect and whose caller gets no answer.
+	// LostAnswers is the share of writes, 0 to 1, that are carried out but not answered.
 	LostAnswers float64
-	// CutWatches ends the watches that wait when the document arrives; new ones are not touched.
+	// CutWatches ends the watches that are open when the document arrives. Later ones are not affected.
 	CutWatches bool
-	// ListOutage ends reads of the instance list without an answer.
+	// ListOutage ends every read of the instance list without an answer.
 	ListOutage bool
 }
 
-// Calls counts what the key-value service was asked.
+// Calls counts the calls to the key-value service.
 type Calls struct {
-	// Kinds counts the calls by kind since the start; Watch counts watches opened.
+	// Kinds has the number of calls since the start by kind. The kind Watch counts the watches that were opened.
 	Kinds map[string]int64
-	// Watching is how many watches wait now, each of which is one call of the platform's budget.
+	// Watching is the number of open watches. Each counts as one call in the platform's call budget.
 	Watching int64
-	// Limited counts the calls refused for their rate.
+	// Limited counts the calls refused by the rate limit.
 	Limited int64
-	// Bytes counts the value bytes of all writes that took effect.
+	// Bytes is the total length of the values of all writes that took effect.
 	Bytes int64
 }
 
-// Rates bound what the key-value service answers in a second; 0 is no bound.
+// Rates are the rate limits of the key-value service in calls per second; 0 means no limit.
 type Rates struct {
 	Writes float64
 	Reads  float64
 }
 
-// kinds of call and whether each one writes.
-var writes = map[string]bool{"Txn": true, "Grant": true, "Renew": true, "Revoke": true}
+// isWrite has the kinds of calls that write.
+var isWrite = map[string]bool{"Txn": true, "Grant": true, "Renew": true, "Revoke": true}
 
-// gate counts calls, holds them to the rates and applies the faults.
+// gate counts calls, enforces the rate limits and injects the faults.
 type gate struct {
 	mu     sync.Mutex
 	faults Faults
 	calls  Calls
 	writes *rate.Limiter
 	reads  *rate.Limiter
-	// cut is closed to end the watches that wait, and replaced.
+	// cut is closed to end the open watches, and then replaced.
 	cut    chan struct{}
 	random *rand.Rand
 }
@@ -72,21 +72,22 @@
 func newGate(rates Rates) *gate {
 	return &gate{
 		calls:  Calls{Kinds: map[string]int64{}},
-		writes: limiter(rates.Writes),
-		reads:  limiter(rates.Reads),
+		writes: newLimiter(rates.Writes),
+		reads:  newLimiter(rates.Reads),
 		cut:    make(chan struct{}),
 		random: rand.New(rand.NewPCG(1, 1)),
 	}
 }
 
-// limiter allows bursts of one second's worth.
-func limiter(perSecond float64) *rate.Limiter {
+// newLimiter returns a limiter with a burst of one second's calls, or one without a limit if perSecond is 0 or less.
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
+// set replaces the faults and ends the open watches if the new faults require it.
 func (gt *gate) set(fs Faults) {
 	gt.mu.Lock()
 	defer gt.mu.Unlock()
@@ -114,11 +115,12 @@
 	return calls
 }
 
-// errNoAnswer tells that the caller hears nothing.
-var errNoAnswer = store.Unavailable.New("stand: the service gives no answer")
+// errNoAnswer reports that the call ends without an answer to the caller.
+var errNoAnswer = store.Unavailable.New("stand: the key-value service did not answer: a write may have taken effect, read the key back")
 
-// enter lets a call in, or returns errNoAnswer or the status of a refusal.
-func (gt *gate) enter(ctx context.Context, kind string) (*store.Status, error) {
+// admit counts a call and lets it pass, after a delay if one is set. Otherwise it returns an error if the caller must get no
+// answer, or the status of a refusal.
+func (gt *gate) admit(ctx context.Context, kind string) (*store.Status, error) {
 	gt.mu.Lock()
 	gt.calls.Kinds[kind]++
 	fs := gt.faults
@@ -127,7 +129,7 @@
 		return nil, errNoAnswer
 	}
 	lim := gt.reads
-	if writes[kind] {
+	if isWrite[kind] {
 		lim = gt.writes
 	}
 	if !lim.Allow() {
@@ -142,21 +144,22 @@
 	return nil, ctx.Err()
 }
 
-// lost decides whether the answer of a call that took effect is lost.
-func (gt *gate) lost(kind string) bool {
+// losesAnswer draws whether the answer to a call that took effect is lost. Only answers to writes are.
+func (gt *gate) losesAnswer(kind string) bool {
 	gt.mu.Lock()
 	defer gt.mu.Unlock()
-	return writes[kind] && gt.random.Float64() < gt.faults.LostAnswers
+	return isWrite[kind] && gt.random.Float64() < gt.faults.LostAnswers
 }
 
-func (gt *gate) wrote(length int) {
+// countBytes counts the length of a value that was written.
+func (gt *gate) countBytes(length int) {
 	gt.mu.Lock()
 	defer gt.mu.Unlock()
 	gt.calls.Bytes += int64(length)
 }
 
-// watching counts a watch that waits; the channel closes when it is to be cut.
-func (gt *gate) watching(change int64) <-chan struct{} {
+// addWatch adds the change to the number of open watches. It returns the channel that is closed when they must end.
+func (gt *gate) addWatch(change int64) <-chan struct{} {
 	gt.mu.Lock()
 	defer gt.mu.Unlock()
 	gt.calls.Watching += change
--- a/internal/stand/kv.go
+++ b/internal/stand/kv.go
@@ -12,18 +12,18 @@
 	"dandelionsail.example/dandelionsail/internal/store"
 )
 
-// leaseSweep is how often ended leases are looked for.
-const leaseSweep = 50 * time.Millisecond
+// leaseCheckInterval is the interval at which expired leases are removed.
+const leaseCheckInterval = 50 * time.Millisecond
 
-// historyKept is how many changes a watch can start back from.
-const historyKept = 10000
+// minHistory is the minimum number of past changes that are kept for watches that start at an earlier revision.
+const minHistory = 10000
 
 type kvLease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// KV is the key-value service: compare-and-swap, leases and watches over the etcd version 3 JSON protocol.
+// KV is the platform's key-value service: compare-and-swap, leases and watches over the etcd version 3 JSON protocol.
 type KV struct {
 	mu       sync.Mutex
 	revision int64
@@ -36,14 +36,14 @@
 	gate    *gate
 }
 
-// Codes of errors, as the published protocol gives them.
+// Error codes of the published protocol.
 const (
 	codeInvalidArgument   = 3
 	codeNotFound          = 5
 	codeResourceExhausted = 8
 )
 
-// NewKV returns an empty service held to the rates.
+// NewKV returns an empty service with the given rate limits.
 func NewKV(rates Rates) *KV {
 	return &KV{
 		pairs:   map[string]store.KeyValue{},
@@ -53,39 +53,41 @@
 	}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the faults in effect.
 func (kv *KV) SetFaults(fs Faults) {
 	kv.gate.set(fs)
 }
 
-// Run ends leases whose time is over, until the context ends.
+// Run removes expired leases until the context ends.
 func (kv *KV) Run(ctx context.Context) error {
-	ticker := time.NewTicker(leaseSweep)
+	ticker := time.NewTicker(leaseCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-ticker.C:
-			kv.sweep(now)
+			kv.expireLeases(now)
 		}
 	}
 }
 
-func (kv *KV) sweep(now time.Time) {
+func (kv *KV) expireLeases(now time.Time) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
-	kv.expire(now)
+	kv.expireLocked(now)
 }
 
-func (kv *KV) expire(now time.Time) {
+// expireLocked ends the leases that have expired by now. The caller holds the lock.
+func (kv *KV) expireLocked(now time.Time) {
 	for id, lease := range kv.leases {
-		if now.After(lease.ends) {
+		if now.After(lease.expiresAt) {
 			kv.endLease(id)
 		}
 	}
 }
 
+// endLease removes the lease and the pairs attached to it.
 func (kv *KV) endLease(id int64) {
 	delete(kv.leases, id)
 	for key, pair := range kv.pairs {
@@ -98,78 +100,80 @@
 func (kv *KV) remove(key string) {
 	kv.revision++
 	delete(kv.pairs, key)
-	kv.note(store.WatchEvent{Type: store.EventDelete, Kv: store.KeyValue{Key: []byte(key), ModRevision: kv.revision}})
+	kv.recordChange(store.WatchEvent{Type: store.EventDelete, Kv: store.KeyValue{Key: []byte(key), ModRevision: kv.revision}})
 }
 
 func (kv *KV) put(req *store.PutRequest) {
 	kv.revision++
 	pair := store.KeyValue{Key: req.Key, Value: req.Value, ModRevision: kv.revision, Lease: req.Lease}
 	kv.pairs[string(req.Key)] = pair
-	kv.note(store.WatchEvent{Kv: pair})
+	kv.recordChange(store.WatchEvent{Kv: pair})
 }
 
-func (kv *KV) note(ev store.WatchEvent) {
+// recordChange appends the change to the history and wakes the watches.
+func (kv *KV) recordChange(ev store.WatchEvent) {
 	kv.history = append(kv.history, ev)
-	if len(kv.history) > 2*historyKept {
-		kv.history = slices.Clone(kv.history[historyKept:])
+	if len(kv.history) > 2*minHistory {
+		kv.history = slices.Clone(kv.history[minHistory:])
 	}
 	close(kv.changed)
 	kv.changed = make(chan struct{})
 }
 
-// Calls returns what was asked so far.
+// Calls returns the number of calls so far.
 func (kv *KV) Calls() Calls {
 	return kv.gate.snapshot()
 }
 
 func (kv *KV) routes(mux *http.ServeMux) {
 	kv.gate.routes(mux)
-	mux.HandleFunc("POST /v3/kv/range", served(kv, "Range", kv.readRange))
-	mux.HandleFunc("POST /v3/kv/txn", served(kv, "Txn", kv.txn))
-	mux.HandleFunc("POST /v3/lease/grant", served(kv, "Grant", kv.grant))
-	mux.HandleFunc("POST /v3/lease/keepalive", served(kv, "Renew", kv.renew))
-	mux.HandleFunc("POST /v3/lease/revoke", served(kv, "Revoke", kv.revoke))
+	mux.HandleFunc("POST /v3/kv/range", handleCall(kv, "Range", kv.readRange))
+	mux.HandleFunc("POST /v3/kv/txn", handleCall(kv, "Txn", kv.txn))
+	mux.HandleFunc("POST /v3/lease/grant", handleCall(kv, "Grant", kv.grant))
+	mux.HandleFunc("POST /v3/lease/keepalive", handleCall(kv, "Renew", kv.renew))
+	mux.HandleFunc("POST /v3/lease/revoke", handleCall(kv, "Revoke", kv.revoke))
 	mux.HandleFunc("POST /v3/watch", kv.watch)
 }
 
-// served decodes a call, runs it and encodes its answer.
-func served[Request, Answer any](kv *KV, kind string, run func(Request) (Answer, *store.Status)) http.HandlerFunc {
+// handleCall returns a handler that decodes a call, runs it and encodes its answer.
+func handleCall[Request, Answer any](kv *KV, kind string, run func(Request) (Answer, *store.Status)) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		var request Request
 		if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, 2*store.MaxValue)).Decode(&request); err != nil {
-			fail(w, &store.Status{Code: codeInvalidArgument, Message: err.Error()})
+			writeStatus(w, &store.Status{Code: codeInvalidArgument, Message: err.Error()})
 			return
 		}
-		answer, status, err := do(req.Context(), kv, kind, run, request)
+		answer, status, err := runCall(req.Context(), kv, kind, run, request)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
 		if status != nil {
-			fail(w, status)
+			writeStatus(w, status)
 			return
 		}
 		_ = json.NewEncoder(w).Encode(answer)
 	}
 }
 
-// do runs one call through the gate and under the lock. An error means that the caller gets no answer.
-func do[Request, Answer any](ctx context.Context, kv *KV, kind string, run func(Request) (Answer, *store.Status), request Request) (Answer, *store.Status, error) {
+// runCall passes a call through the gate and runs it under the lock. An error means that the caller must get no answer.
+func runCall[Request, Answer any](ctx context.Context, kv *KV, kind string, run func(Request) (Answer, *store.Status), request Request) (Answer, *store.Status, error) {
 	var none Answer
-	status, err := kv.gate.enter(ctx, kind)
+	status, err := kv.gate.admit(ctx, kind)
 	if status != nil || err != nil {
 		return none, status, err
 	}
 	kv.mu.Lock()
-	kv.expire(time.Now())
+	kv.expireLocked(time.Now())
 	answer, status := run(request)
 	kv.mu.Unlock()
-	if status == nil && kv.gate.lost(kind) {
+	if status == nil && kv.gate.losesAnswer(kind) {
 		return none, nil, errNoAnswer
 	}
 	return answer, status, nil
 }
 
-func fail(w http.ResponseWriter, status *store.Status) {
+// writeStatus answers with an error status.
+func writeStatus(w http.ResponseWriter, status *store.Status) {
 	code := http.StatusBadRequest
 	switch status.Code {
 	case codeNotFound:
@@ -194,7 +198,7 @@
 			answer.Kvs = append(answer.Kvs, pair)
 		}
 	}
-	slices.SortFunc(answer.Kvs, func(one, two store.KeyValue) int { return bytes.Compare(one.Key, two.Key) })
+	slices.SortFunc(answer.Kvs, func(a, b store.KeyValue) int { return bytes.Compare(a.Key, b.Key) })
 	if req.Limit > 0 && int64(len(answer.Kvs)) > req.Limit {
 		answer.Kvs = answer.Kvs[:req.Limit]
 	}
@@ -206,7 +210,7 @@
 }
 
 func (kv *KV) txn(req store.TxnRequest) (store.TxnAnswer, *store.Status) {
-	if status := kv.admissible(req); status != nil {
+	if status := kv.validate(req); status != nil {
 		return store.TxnAnswer{}, status
 	}
 	for _, cmp := range req.Compare {
@@ -217,7 +221,7 @@
 	for _, op := range req.Success {
 		if op.Put != nil {
 			kv.put(op.Put)
-			kv.gate.wrote(len(op.Put.Value))
+			kv.gate.countBytes(len(op.Put.Value))
 		}
 		if op.Delete != nil && kv.pairs[string(op.Delete.Key)].ModRevision != 0 {
 			kv.remove(string(op.Delete.Key))
@@ -226,8 +230,8 @@
 	return store.TxnAnswer{Header: store.Header{Revision: kv.revision}, Succeeded: true}, nil
 }
 
-// admissible refuses a transaction whole if one of its writes cannot be done.
-func (kv *KV) admissible(req store.TxnRequest) *store.Status {
+// validate returns an error status if any write of the transaction is invalid. The transaction is then refused as a whole.
+func (kv *KV) validate(req store.TxnRequest) *store.Status {
 	for _, op := range req.Success {
 		if op.Put == nil {
 			continue
@@ -245,7 +249,7 @@
 func (kv *KV) grant(req store.LeaseRequest) (store.LeaseAnswer, *store.Status) {
 	kv.nextID++
 	ttl := time.Duration(req.TTL) * time.Second
-	kv.leases[kv.nextID] = &kvLease{ttl: ttl, ends: time.Now().Add(ttl)}
+	kv.leases[kv.nextID] = &kvLease{ttl: ttl, expiresAt: time.Now().Add(ttl)}
 	return store.LeaseAnswer{ID: kv.nextID, TTL: req.TTL}, nil
 }
 
@@ -254,7 +258,7 @@
 	if !ok {
 		return store.KeepAliveAnswer{Result: store.LeaseAnswer{ID: req.ID}}, nil
 	}
-	lease.ends = time.Now().Add(lease.ttl)
+	lease.expiresAt = time.Now().Add(lease.ttl)
 	return store.KeepAliveAnswer{Result: store.LeaseAnswer{ID: req.ID, TTL: int64(lease.ttl / time.Second)}}, nil
 }
 
@@ -266,34 +270,34 @@
 	return struct{}{}, nil
 }
 
-// watch streams changes until the caller leaves or the watch is cut.
+// watch streams changes until the caller leaves or a fault ends the watch.
 func (kv *KV) watch(w http.ResponseWriter, req *http.Request) {
 	var request store.WatchRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, store.MaxValue)).Decode(&request); err != nil {
-		fail(w, &store.Status{Code: codeInvalidArgument, Message: err.Error()})
+		writeStatus(w, &store.Status{Code: codeInvalidArgument, Message: err.Error()})
 		return
 	}
-	status, err := kv.gate.enter(req.Context(), "Watch")
+	status, err := kv.gate.admit(req.Context(), "Watch")
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	if status != nil {
-		fail(w, status)
+		writeStatus(w, status)
 		return
 	}
-	cut := kv.gate.watching(1)
-	defer kv.gate.watching(-1)
+	cut := kv.gate.addWatch(1)
+	defer kv.gate.addWatch(-1)
 	kv.stream(w, request.Create, req.Context().Done(), cut)
 }
 
 func (kv *KV) stream(w http.ResponseWriter, create store.WatchCreate, gone, cut <-chan struct{}) {
-	from := kv.start(create)
-	if !send(w, store.WatchResult{Header: store.Header{Revision: from - 1}, Created: true}) {
+	from := kv.startRevision(create)
+	if !sendWatchResult(w, store.WatchResult{Header: store.Header{Revision: from - 1}, Created: true}) {
 		return
 	}
 	for {
-		events, next, changed := kv.since(create, from)
-		if len(events) > 0 && !send(w, store.WatchResult{Header: store.Header{Revision: next - 1}, Events: events}) {
+		events, next, changed := kv.eventsSince(create, from)
+		if len(events) > 0 && !sendWatchResult(w, store.WatchResult{Header: store.Header{Revision: next - 1}, Events: events}) {
 			return
 		}
 		from = next
@@ -307,7 +311,8 @@
 	}
 }
 
-func (kv *KV) start(create store.WatchCreate) int64 {
+// startRevision returns the first revision that a new watch reports.
+func (kv *KV) startRevision(create store.WatchCreate) int64 {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	if create.StartRevision != 0 {
@@ -316,7 +321,9 @@
 	return kv.revision + 1
 }
 
-func (kv *KV) since(create store.WatchCreate, from int64) ([]store.WatchEvent, int64, <-chan struct{}) {
+// eventsSince returns the watched changes from a revision on, the revision to continue at, and a channel that is closed at
+// the next change.
+func (kv *KV) eventsSince(create store.WatchCreate, from int64) ([]store.WatchEvent, int64, <-chan struct{}) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	var events []store.WatchEvent
@@ -328,7 +335,8 @@
 	return events, kv.revision + 1, kv.changed
 }
 
-func send(w http.ResponseWriter, result store.WatchResult) bool {
+// sendWatchResult writes one message of a watch and reports whether it was sent.
+func sendWatchResult(w http.ResponseWriter, result store.WatchResult) bool {
 	if json.NewEncoder(w).Encode(store.WatchAnswer{Result: result}) != nil {
 		return false
 	}
--- a/internal/stand/memory.go
+++ b/internal/stand/memory.go
@@ -7,31 +7,33 @@
 	"dandelionsail.example/dandelionsail/internal/store"
 )
 
-// Memory is the key-value service as a store.Store without a connection, with the same faults, for tests whose clock
-// is paused.
+// Memory is a store.Store that calls the key-value service without a network connection but with the same faults. It is for
+// tests with a paused clock.
 type Memory struct {
-	// KV may be shared by several Memory values, as one service is by several instances.
+	// KV is the service. Several Memory values may share it, as several instances share one service.
 	KV *KV
-	// Cut makes this caller's calls end without an answer and without effect, as behind a partition.
-	Cut func() bool
+	// Partitioned, unless nil, reports whether a network partition cuts this caller off. Its calls then end without an answer
+	// and without effect.
+	Partitioned func() bool
 }
 
-// NewMemory returns a caller of the service.
+// NewMemory returns a client of the service.
 func NewMemory(kv *KV) *Memory {
 	return &Memory{KV: kv}
 }
 
 var _ store.Store = (*Memory)(nil)
 
-func ask[Request, Answer any](ctx context.Context, mm *Memory, kind string, run func(Request) (Answer, *store.Status), request Request) (Answer, error) {
+// callKV runs one call and converts an error status to an error of package store.
+func callKV[Request, Answer any](ctx context.Context, mm *Memory, kind string, run func(Request) (Answer, *store.Status), request Request) (Answer, error) {
 	var none Answer
-	if mm.Cut != nil && mm.Cut() {
+	if mm.Partitioned != nil && mm.Partitioned() {
 		return none, errNoAnswer
 	}
-	answer, status, err := do(ctx, mm.KV, kind, run, request)
+	answer, status, err := runCall(ctx, mm.KV, kind, run, request)
 	switch {
 	case err != nil:
-		return none, store.Unavailable.Wrap(err, "stand: no answer")
+		return none, store.Unavailable.Wrap(err, "stand: the call got no answer")
 	case status == nil:
 		return answer, nil
 	case status.Code == codeNotFound:
@@ -45,12 +47,12 @@
 
 // Get implements store.Store.
 func (mm *Memory) Get(ctx context.Context, key string) (store.Pair, error) {
-	answer, err := ask(ctx, mm, "Range", mm.KV.readRange, store.RangeRequest{Key: []byte(key)})
+	answer, err := callKV(ctx, mm, "Range", mm.KV.readRange, store.RangeRequest{Key: []byte(key)})
 	if err != nil {
 		return store.Pair{}, err
 	}
 	if len(answer.Kvs) == 0 {
-		return store.Pair{}, store.Missing.New("stand: no key %s", key)
+		return store.Pair{}, store.Missing.New("stand: the key %s does not exist", key)
 	}
 	return pair(answer.Kvs[0]), nil
 }
@@ -62,7 +64,7 @@
 // List implements store.Store.
 func (mm *Memory) List(ctx context.Context, prefix, from string, limit int) ([]store.Pair, error) {
 	request := store.RangeRequest{Key: []byte(max(prefix, from)), RangeEnd: store.RangeEnd(prefix), Limit: int64(limit)}
-	answer, err := ask(ctx, mm, "Range", mm.KV.readRange, request)
+	answer, err := callKV(ctx, mm, "Range", mm.KV.readRange, request)
 	if err != nil {
 		return nil, err
 	}
@@ -94,9 +96,9 @@
 		Compare: []store.Compare{{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRevision: revision}},
 		Success: []store.Op{op},
 	}
-	answer, err := ask(ctx, mm, "Txn", mm.KV.txn, request)
+	answer, err := callKV(ctx, mm, "Txn", mm.KV.txn, request)
 	if err == nil && !answer.Succeeded {
-		err = store.Conflict.New("stand: %s was written since revision %d", key, revision)
+		err = store.Conflict.New("stand: the key %s was written after revision %d: read it again", key, revision)
 	}
 	return answer, err
 }
@@ -104,43 +106,44 @@
 // Grant implements store.Store.
 func (mm *Memory) Grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
-	answer, err := ask(ctx, mm, "Grant", mm.KV.grant, store.LeaseRequest{TTL: seconds})
+	answer, err := callKV(ctx, mm, "Grant", mm.KV.grant, store.LeaseRequest{TTL: seconds})
 	return store.LeaseID(answer.ID), err
 }
 
 // Renew implements store.Store.
 func (mm *Memory) Renew(ctx context.Context, lease store.LeaseID) error {
-	answer, err := ask(ctx, mm, "Renew", mm.KV.renew, store.LeaseRequest{ID: int64(lease)})
+	answer, err := callKV(ctx, mm, "Renew", mm.KV.renew, store.LeaseRequest{ID: int64(lease)})
 	if err == nil && answer.Result.TTL <= 0 {
-		return store.Missing.New("stand: lease %d has ended", lease)
+		return store.Missing.New("stand: lease %d has expired: grant a new one", lease)
 	}
 	return err
 }
 
 // Revoke implements store.Store.
 func (mm *Memory) Revoke(ctx context.Context, lease store.LeaseID) error {
-	_, err := ask(ctx, mm, "Revoke", mm.KV.revoke, store.LeaseRequest{ID: int64(lease)})
+	_, err := callKV(ctx, mm, "Revoke", mm.KV.revoke, store.LeaseRequest{ID: int64(lease)})
 	return err
 }
 
 // Watch implements store.Store.
 func (mm *Memory) Watch(ctx context.Context, prefix string, revision int64) (<-chan store.Change, error) {
-	status, err := mm.KV.gate.enter(ctx, "Watch")
-	if err != nil || status != nil || (mm.Cut != nil && mm.Cut()) {
+	status, err := mm.KV.gate.admit(ctx, "Watch")
+	if err != nil || status != nil || (mm.Partitioned != nil && mm.Partitioned()) {
 		return nil, errNoAnswer
 	}
 	create := store.WatchCreate{Key: []byte(prefix), RangeEnd: store.RangeEnd(prefix), StartRevision: revision}
 	changes := make(chan store.Change)
-	go mm.follow(ctx, create, mm.KV.start(create), changes)
+	go mm.forwardChanges(ctx, create, mm.KV.startRevision(create), changes)
 	return changes, nil
 }
 
-func (mm *Memory) follow(ctx context.Context, create store.WatchCreate, from int64, changes chan<- store.Change) {
+// forwardChanges sends the watched changes until the context ends or a fault ends the watch, and then closes the channel.
+func (mm *Memory) forwardChanges(ctx context.Context, create store.WatchCreate, from int64, changes chan<- store.Change) {
 	defer close(changes)
-	cut := mm.KV.gate.watching(1)
-	defer mm.KV.gate.watching(-1)
+	cut := mm.KV.gate.addWatch(1)
+	defer mm.KV.gate.addWatch(-1)
 	for {
-		events, next, changed := mm.KV.since(create, from)
+		events, next, changed := mm.KV.eventsSince(create, from)
 		for _, ev := range events {
 			select {
 			case changes <- store.Change{Pair: pair(ev.Kv), Deleted: ev.Type == store.EventDelete}:
--- a/internal/stand/platform.go
+++ b/internal/stand/platform.go
@@ -13,57 +13,60 @@
 	"dandelionsail.example/dandelionsail/internal/plat"
 )
 
-// Platform is the stand-in of the platform: its key-value service and its instance list.
+// Platform is the stand-in of the platform. It has a key-value service and an instance list.
 type Platform struct {
 	KV *KV
-	// Lag is how late the list shows a change.
+	// Lag is the delay after which the list shows a change.
 	Lag     time.Duration
 	mu      sync.Mutex
 	entries map[string]plat.Entry
+	// changes has the list that is served now, followed by the ones that Lag still hides.
 	changes []listChange
-	// numbered counts the changes.
-	numbered int
+	// changeCount counts the changes of the list; the entity tags are derived from it.
+	changeCount int
 }
 
+// listChange is the list after one change.
 type listChange struct {
 	at      time.Time
 	listing plat.Listing
 	tag     string
 }
 
-// NewPlatform returns a platform without instances whose service has no rates.
+// NewPlatform returns a platform without instances, whose key-value service has no rate limits.
 func NewPlatform(lag time.Duration) *Platform {
 	return &Platform{KV: NewKV(Rates{}), Lag: lag, entries: map[string]plat.Entry{}}
 }
 
-// Put lists an instance or changes what is listed of it.
+// Put adds an instance to the list or replaces its entry.
 func (pf *Platform) Put(en plat.Entry) {
 	pf.mu.Lock()
 	defer pf.mu.Unlock()
 	pf.entries[en.Name] = en
-	pf.changed()
+	pf.recordChange()
 }
 
-// Remove takes an instance off the list.
+// Remove removes an instance from the list.
 func (pf *Platform) Remove(name string) {
 	pf.mu.Lock()
 	defer pf.mu.Unlock()
 	delete(pf.entries, name)
-	pf.changed()
+	pf.recordChange()
 }
 
-func (pf *Platform) changed() {
+// recordChange records the list as it is after a change.
+func (pf *Platform) recordChange() {
 	var listing plat.Listing
 	for _, en := range pf.entries {
 		listing.Instances = append(listing.Instances, en)
 	}
-	slices.SortFunc(listing.Instances, func(one, two plat.Entry) int { return strings.Compare(one.Name, two.Name) })
-	pf.numbered++
-	tag := fmt.Sprintf(`"%d"`, pf.numbered)
+	slices.SortFunc(listing.Instances, func(a, b plat.Entry) int { return strings.Compare(a.Name, b.Name) })
+	pf.changeCount++
+	tag := fmt.Sprintf(`"%d"`, pf.changeCount)
 	pf.changes = append(pf.changes, listChange{time.Now(), listing, tag})
 }
 
-// listing returns the list as it was Lag ago, with its tag.
+// listing returns the list as it was Lag ago, with its entity tag.
 func (pf *Platform) listing() (plat.Listing, string) {
 	pf.mu.Lock()
 	defer pf.mu.Unlock()
@@ -76,12 +79,12 @@
 	return pf.changes[0].listing, pf.changes[0].tag
 }
 
-// Run ends leases whose time is over, until the context ends.
+// Run removes expired leases until the context ends.
 func (pf *Platform) Run(ctx context.Context) error {
 	return pf.KV.Run(ctx)
 }
 
-// Handler serves the key-value service and the list.
+// Handler returns the handler of the key-value service and the instance list.
 func (pf *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	pf.KV.routes(mux)
--- a/internal/stand/service.go
+++ b/internal/stand/service.go
@@ -11,46 +11,50 @@
 	"dandelionsail.example/dandelionsail/internal/upstr"
 )
 
+// fingerprint returns the FNV-1a hash of the bytes.
 func fingerprint(raw []byte) uint32 {
 	hash := fnv.New32a()
 	_, _ = hash.Write(raw)
 	return hash.Sum32()
 }
 
-// Run is one call that a service ran.
+// Run is the record of one call that a service ran.
 type Run struct {
-	At      time.Time
+	At time.Time
+	// Request is the request ID, from upstr.HeaderRequest.
 	Request string
-	Key     string
-	Method  string
-	Path    string
-	Digest  uint32
+	// Key is the idempotency key, from upstr.HeaderKey.
+	Key    string
+	Method string
+	Path   string
+	// Digest is the FNV-1a hash of the body.
+	Digest uint32
 }
 
-// Service is a plain service: it runs each call that reaches it and keeps a record of it.
+// Service is a plain service. It runs every call that it receives and records it.
 type Service struct {
-	// Delay is the time a call takes.
+	// Delay is the duration of a call.
 	Delay time.Duration
 	mu    sync.Mutex
 	runs  []Run
 }
 
-// NewService returns a service that takes delay for each call.
+// NewService returns a service whose calls take the given time.
 func NewService(delay time.Duration) *Service {
 	return &Service{Delay: delay}
 }
 
-// Runs returns the calls that were run so far.
+// Runs returns the calls run so far.
 func (sv *Service) Runs() []Run {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return append([]Run(nil), sv.runs...)
 }
 
-// PathRuns is where a service tells what it ran.
+// PathRuns is the path at which a service serves its record of calls.
 const PathRuns = "/stand/runs"
 
-// Handler serves every path.
+// Handler returns the handler of the service. It runs the calls to every path but PathRuns.
 func (sv *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathRuns, func(w http.ResponseWriter, _ *http.Request) {
@@ -63,7 +67,7 @@
 func (sv *Service) run(w http.ResponseWriter, req *http.Request) {
 	raw, err := io.ReadAll(req.Body)
 	if err != nil {
-		// A call whose body never came whole is not run.
+		// A call is not run unless its whole body is received.
 		return
 	}
 	run := Run{
--- a/internal/stand/weights.go
+++ b/internal/stand/weights.go
@@ -12,35 +12,38 @@
 	"dandelionsail.example/dandelionsail/internal/delay"
 )
 
-// PathWeights is where the weight store serves weights, followed by "name@version" or "name@version:adapter".
+// PathWeights is the path prefix of the weights that the weight store serves. "name@version" or "name@version:adapter"
+// follows it.
 const PathWeights = "/v1/weights/"
 
-// WeightCounts tells what a weight store did.
+// WeightCounts counts the loads of a weight store.
 type WeightCounts struct {
-	// Served counts the loads by name; Refused those over the rate.
-	Served  map[string]int
+	// Served has the number of served loads by name.
+	Served map[string]int
+	// Refused counts the loads refused by the rate limit.
 	Refused int
 }
 
-// Weights is the platform's weight store. It serves so many loads a minute to the whole fleet and refuses the rest.
+// Weights is the platform's weight store. It limits the loads per minute of the whole fleet and refuses further ones.
 type Weights struct {
-	// Time is how long one load takes.
-	Time   time.Duration
-	limit  *rate.Limiter
-	mu     sync.Mutex
-	counts WeightCounts
+	// LoadTime is the duration of one load.
+	LoadTime time.Duration
+	limiter  *rate.Limiter
+	mu       sync.Mutex
+	counts   WeightCounts
 }
 
-// NewWeights returns a store that serves loadsPerMinute, without bound for 0, each of which takes loadTime.
+// NewWeights returns a weight store that serves loadsPerMinute loads per minute, unlimited if 0, each of which takes
+// loadTime.
 func NewWeights(loadsPerMinute float64, loadTime time.Duration) *Weights {
 	limit := rate.NewLimiter(rate.Inf, 0)
 	if loadsPerMinute > 0 {
 		limit = rate.NewLimiter(rate.Limit(loadsPerMinute/time.Minute.Seconds()), max(1, int(loadsPerMinute)))
 	}
-	return &Weights{Time: loadTime, limit: limit, counts: WeightCounts{Served: map[string]int{}}}
+	return &Weights{LoadTime: loadTime, limiter: limit, counts: WeightCounts{Served: map[string]int{}}}
 }
 
-// Counts returns what was served and refused so far.
+// Counts returns the number of loads served and refused so far.
 func (ws *Weights) Counts() WeightCounts {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -51,7 +54,7 @@
 	return counts
 }
 
-// Handler serves the weights and, under PathCalls, the counts.
+// Handler returns the handler of the weights and, at PathCalls, of the counts.
 func (ws *Weights) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathWeights+"{name}", ws.serve)
@@ -63,19 +66,20 @@
 
 func (ws *Weights) serve(w http.ResponseWriter, req *http.Request) {
 	name := req.PathValue("name")
-	if !ws.take(name) {
+	if !ws.allow(name) {
 		w.Header().Set("Retry-After", strconv.Itoa(1))
 		http.Error(w, "over the rate of the weight store; load less often", http.StatusTooManyRequests)
 		return
 	}
-	delay.For(req.Context(), ws.Time)
+	delay.For(req.Context(), ws.LoadTime)
 	_, _ = w.Write([]byte(name))
 }
 
-func (ws *Weights) take(name string) bool {
+// allow counts a load and reports whether the rate limit allows it.
+func (ws *Weights) allow(name string) bool {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	if !ws.limit.Allow() {
+	if !ws.limiter.Allow() {
 		ws.counts.Refused++
 		return false
 	}
