--- a/internal/admit/share.go
+++ b/internal/admit/share.go
@@ -11,16 +11,16 @@
 )
 
 // Limits are declared for the whole fleet, and each instance enforces its share of them alone. The shares follow the demand:
-// an instance periodically reports which part of an organisation's limits is requested from it. One instance, the same for
-// all reporters, divides the limits of an organisation in proportion to the reports and replies with the shares. Admitting a
-// request needs no other instance, and an instance that has received no share uses an equal one.
+// an instance periodically reports which fraction of an organisation's limits is requested from it. One instance, the same
+// for all reporters, divides the limits of an organisation in proportion to the reports and replies with the shares.
+// Admitting a request needs no other instance, and an instance that has received no share uses an equal one.
 const (
 	// minDemandPeriod is the minimum time between two reports of demand.
 	minDemandPeriod = time.Second
 	// demandPeriodPerInstance lengthens the period in a large fleet, so that the cost of an instance that divides limits
 	// does not grow with the fleet.
 	demandPeriodPerInstance = 25 * time.Millisecond
-	// minReportedDemand is the demand, as a part of an equal share, at or below which an instance reports none.
+	// minReportedDemand is the demand, as a fraction of an equal share, at or below which an instance reports none.
 	minReportedDemand = 0.25
 	// equalFraction is the part of a limit that is always divided equally, so that an organisation that moves to another
 	// instance is not refused there until the next report.
@@ -31,9 +31,9 @@
 
 // demand is the demand of one organisation at one instance, as last reported.
 type demand struct {
-	// part is the demand as a part of the organisation's limits over the whole fleet.
-	part float64
-	at   time.Time
+	// fraction is the demand as a fraction of the organisation's limits over the whole fleet.
+	fraction float64
+	at       time.Time
 }
 
 // DemandPeriod returns the time between two reports of demand.
@@ -64,37 +64,37 @@
 	acc.offeredAt = now
 }
 
-// demandedPart returns the demand at this instance as a part of the organisation's limits, for the limit where it is
-// largest.
-func (acc *account) demandedPart(lim decl.Limits, period time.Duration) float64 {
-	var part float64
+// demandedFraction returns the demand at this instance as a fraction of the organisation's limits, for the limit where it
+// is largest.
+func (acc *account) demandedFraction(lim decl.Limits, period time.Duration) float64 {
+	var fraction float64
 	if lim.RequestsPerSecond > 0 {
-		part = acc.offeredRequests / period.Seconds() / lim.RequestsPerSecond
+		fraction = acc.offeredRequests / period.Seconds() / lim.RequestsPerSecond
 	}
 	if lim.TokensPerSecond > 0 {
-		part = max(part, acc.offeredTokens/period.Seconds()/lim.TokensPerSecond)
+		fraction = max(fraction, acc.offeredTokens/period.Seconds()/lim.TokensPerSecond)
 	}
 	if lim.RequestsInFlight > 0 {
-		part = max(part, float64(acc.requestsInFlight)/float64(lim.RequestsInFlight))
+		fraction = max(fraction, float64(acc.requestsInFlight)/float64(lim.RequestsInFlight))
 	}
 	if lim.TokensInFlight > 0 {
-		part = max(part, float64(acc.tokensInFlight)/float64(lim.TokensInFlight))
+		fraction = max(fraction, float64(acc.tokensInFlight)/float64(lim.TokensInFlight))
 	}
-	return part
+	return fraction
 }
 
 // Demands returns the demands that this instance has to report, in the order of the organisations' names.
 func (st *State) Demands(now time.Time, organisations map[string]decl.Organisation) []event.Demand {
 	var demands []event.Demand
-	minPart := minReportedDemand / float64(max(1, st.Instances))
+	minFraction := minReportedDemand / float64(max(1, st.Instances))
 	for name, acc := range st.orgs {
 		lim := organisations[name].Limits
 		if lim == (decl.Limits{}) {
 			continue
 		}
 		acc.decayOffered(now, st.DemandPeriod())
-		if part := acc.demandedPart(lim, st.DemandPeriod()); part > minPart {
-			demands = append(demands, event.Demand{Organisation: name, Fraction: float32(part)})
+		if fraction := acc.demandedFraction(lim, st.DemandPeriod()); fraction > minFraction {
+			demands = append(demands, event.Demand{Organisation: name, Fraction: float32(fraction)})
 		}
 	}
 	slices.SortFunc(demands, func(a, b event.Demand) int { return cmp.Compare(a.Organisation, b.Organisation) })
@@ -110,7 +110,7 @@
 			byInstance = map[string]demand{}
 			st.demands[dem.Organisation] = byInstance
 		}
-		byInstance[from] = demand{part: float64(dem.Fraction), at: now}
+		byInstance[from] = demand{fraction: float64(dem.Fraction), at: now}
 		shares = append(shares, event.Share{Organisation: dem.Organisation, Fraction: float32(st.allocation(now, byInstance, from))})
 	}
 	return shares
@@ -124,13 +124,13 @@
 			delete(byInstance, name)
 			continue
 		}
-		total += dem.part
+		total += dem.fraction
 	}
 	equal := 1 / float64(max(1, st.Instances))
 	if total <= 0 {
 		return equal
 	}
-	return equalFraction*equal + (1-equalFraction)*byInstance[from].part/total
+	return equalFraction*equal + (1-equalFraction)*byInstance[from].fraction/total
 }
 
 // ApplyShares sets the shares of the limits that were allocated to this instance.
--- a/internal/admit/share_test.go
+++ b/internal/admit/share_test.go
@@ -118,8 +118,8 @@
 	total := float32(0)
 	for round := range 2 {
 		total = 0
-		for i, part := range []float32{0.7, 0.2, 0, 0.1} {
-			shares := st.AllocateShares(start.Add(time.Duration(round)*time.Second), fmt.Sprint(i), []event.Demand{{Organisation: "parish", Fraction: part}})
+		for i, fraction := range []float32{0.7, 0.2, 0, 0.1} {
+			shares := st.AllocateShares(start.Add(time.Duration(round)*time.Second), fmt.Sprint(i), []event.Demand{{Organisation: "parish", Fraction: fraction}})
 			total += shares[0].Fraction
 		}
 	}
--- a/internal/core/arrive.go
+++ b/internal/core/arrive.go
@@ -16,7 +16,7 @@
 		return
 	}
 	class, _ := st.table.classOf(ev.PromptTokens)
-	req := &Request{Arrived: ev, Class: class.LengthClass, level: class.level, above: class.above, At: st.now}
+	req := &Request{Arrived: ev, Class: class.LengthClass, level: class.level, higherClasses: class.higherClasses, At: st.now}
 	st.Requests[ev.ID] = req
 	st.deadlines.push(ev.Deadline, ev.ID)
 	st.count("Requests.Admitted")
@@ -73,7 +73,7 @@
 
 func (st *State) enqueue(req *Request) {
 	if st.needsPermit(req) {
-		st.askPermit(req)
+		st.requestPermit(req)
 		return
 	}
 	st.queueForReplica(req)
--- a/internal/core/claim.go
+++ b/internal/core/claim.go
@@ -51,8 +51,8 @@
 }
 
 // answerRepeated ends a request whose key was claimed before, with the recorded outcome if there is one.
-func (st *State) answerRepeated(req *Request, out event.Outcome) {
-	if out.Known && out.Truncated {
+func (st *State) answerRepeated(req *Request, outcome event.Outcome) {
+	if outcome.Known && outcome.Truncated {
 		// The start of an answer must not be returned as the complete one.
 		st.finish(req, &effect.Refusal{
 			Reason: effect.ReasonAnswerNotKept,
@@ -61,12 +61,12 @@
 		})
 		return
 	}
-	if out.Known {
+	if outcome.Known {
 		st.release(req)
-		st.emit(effect.Finish{ID: req.ID, Replay: &out})
+		st.emit(effect.Finish{ID: req.ID, Replay: &outcome})
 		return
 	}
-	if out.Running {
+	if outcome.Running {
 		st.finish(req, &effect.Refusal{
 			Reason:     effect.ReasonKeyRunning,
 			Ran:        effect.Unknown,
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -38,7 +38,7 @@
 	return in
 }
 
-// reduce applies the event and returns its effects, except for notes.
+// reduce applies the event and returns its effects, except for those that count and log.
 func (in *instance) reduce(ev event.Event) []effect.Effect {
 	var effects []effect.Effect
 	for _, eff := range in.st.Reduce(in.now, ev) {
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -23,8 +23,8 @@
 	st.Admit.MarkBlocked(st.now, service)
 }
 
-// dispatchNext sends, or ends for want of time, one of the requests that are next in the service's queue. It reports
-// whether it did either.
+// dispatchNext sends one of the requests that are next in the service's queue, or ends one that can no longer meet its
+// deadline. It reports whether it did either.
 func (st *State) dispatchNext(service string) bool {
 	for _, it := range st.Admit.Heads(st.now, service) {
 		req := st.Requests[it.ID]
@@ -32,9 +32,9 @@
 			st.finish(req, st.failureRefusal(req, effect.ReasonDeadline, "allow more time in the deadline header, or send it again later"))
 			return true
 		}
-		want := st.pickCriteria(req)
-		want.Queued = st.now.Sub(req.At) > queuedAfter
-		rep := st.Route.Pick(st.now, &want)
+		pc := st.pickCriteria(req)
+		pc.Queued = st.now.Sub(req.At) > queuedAfter
+		rep := st.Route.Pick(st.now, &pc)
 		if rep == nil {
 			continue
 		}
@@ -50,12 +50,12 @@
 
 // pickCriteria returns what the request needs of a replica, with the replicas to avoid.
 func (st *State) pickCriteria(req *Request) route.PickCriteria {
-	want := st.requestLoad(req)
-	want.Tried = req.Tried
+	pc := st.requestLoad(req)
+	pc.Tried = req.Tried
 	if req.Suspect = st.isSuspect(req); req.Suspect {
-		want.Tried = append(st.suspectReplicas(req), req.Tried...)
+		pc.Tried = append(st.suspectReplicas(req), req.Tried...)
 	}
-	return want
+	return pc
 }
 
 // requestLoad returns what the request needs of a replica, without the replicas to avoid.
@@ -67,7 +67,7 @@
 		Prompt:        req.PromptTokens,
 		Answer:        req.MaxTokens,
 		Level:         req.level,
-		HigherClasses: req.above,
+		HigherClasses: req.higherClasses,
 		Repeatable:    st.repeatable(req),
 		Prefixes:      req.Prefixes,
 	}
@@ -96,17 +96,17 @@
 		Deadline:        req.Deadline,
 		ProgressTimeout: st.service(req).ProgressTimeout.Std(),
 
-		FirstProgressTimeout: st.firstSilence(req, upstreams),
+		FirstProgressTimeout: st.firstProgressTimeout(req, upstreams),
 	})
 }
 
 // prefillSlack is the multiple of its estimated time that a prefill may take before the engine counts as silent.
 const prefillSlack = 3
 
-// firstSilence returns the timeout for the first byte of the answer, 0 for plain services. It covers the prefill of the
-// prompt and of what is queued ahead of it, since an engine may send no heartbeats meanwhile: a prompt of a million tokens
-// takes far longer than the ProgressTimeout, and a timeout would start its prefill over.
-func (st *State) firstSilence(req *Request, upstreams []event.Upstream) time.Duration {
+// firstProgressTimeout returns the timeout for the first byte of the answer, 0 for plain services. It covers the prefill of
+// the prompt and of what is queued ahead of it, since an engine may send no heartbeats meanwhile: a prompt of a million
+// tokens takes far longer than the ProgressTimeout, and a timeout would start its prefill over.
+func (st *State) firstProgressTimeout(req *Request, upstreams []event.Upstream) time.Duration {
 	svc := st.service(req)
 	if svc.Kind != decl.KindModel {
 		return 0
@@ -121,7 +121,7 @@
 	return svc.ProgressTimeout.Std() + time.Duration(seconds*float64(time.Second))
 }
 
-func (st *State) handleAnswering(ev event.AnswerStarted) {
+func (st *State) handleAnswerStarted(ev event.AnswerStarted) {
 	req, ok := st.Requests[ev.ID]
 	if !ok || ev.Attempt != req.Attempt {
 		return
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -45,14 +45,14 @@
 
 // View runs look on the loop's goroutine and waits for it to return. It reports whether look ran; once the loop has
 // ended, it does not.
-func (lp *Loop) View(look func(*State)) bool {
+func (lp *Loop) View(fn func(*State)) bool {
 	done := make(chan struct{})
-	wrapped := func(st *State) {
+	call := func(st *State) {
 		defer close(done)
-		look(st)
+		fn(st)
 	}
 	select {
-	case lp.views <- wrapped:
+	case lp.views <- call:
 		<-done
 		return true
 	case <-lp.ended:
@@ -71,8 +71,8 @@
 			return ctx.Err()
 		case ev := <-lp.events:
 			lp.reduce(ev)
-		case look := <-lp.views:
-			look(lp.state)
+		case fn := <-lp.views:
+			fn(lp.state)
 			continue
 		case <-tick.C:
 			lp.reduce(event.Ticked{})
--- a/internal/core/member.go
+++ b/internal/core/member.go
@@ -11,8 +11,8 @@
 		return
 	}
 	st.effects = append(st.effects, st.Member.Reduce(st.now, ev)...)
-	for _, word := range st.Member.LeavingUpstreams {
-		st.markUpstreamLeaving(word)
+	for _, upd := range st.Member.LeavingUpstreams {
+		st.markUpstreamLeaving(upd)
 	}
 	st.Member.LeavingUpstreams = st.Member.LeavingUpstreams[:0]
 	if st.Member.Changed {
@@ -24,9 +24,9 @@
 
 // markUpstreamLeaving applies a peer's report that an upstream is leaving, which may arrive before the platform's list
 // shows it here.
-func (st *State) markUpstreamLeaving(word event.StatusUpdate) {
-	rep, ok := st.Route.Replicas[word.Name]
-	if ok && member.AddressHash(rep.Upstream.Address) == word.Incarnation {
+func (st *State) markUpstreamLeaving(upd event.StatusUpdate) {
+	rep, ok := st.Route.Replicas[upd.Name]
+	if ok && member.AddressHash(rep.Upstream.Address) == upd.Incarnation {
 		st.Route.MarkLeaving(rep)
 	}
 }
--- a/internal/core/permit.go
+++ b/internal/core/permit.go
@@ -19,7 +19,7 @@
 	holder      *permit.Holder
 	// pools holds the replicas of each pool, sorted by name.
 	pools map[permit.Pool][]*route.Replica
-	// delayed are requests that ask for a permit after a pause.
+	// delayed are the requests for which a permit is requested only after their NotBefore.
 	delayed []event.RequestID
 }
 
@@ -30,7 +30,7 @@
 		pools:       map[permit.Pool][]*route.Replica{},
 	}
 	pm.coordinator.Engines = st.poolEngines
-	pm.coordinator.HolderGone = st.holderEnded
+	pm.coordinator.HolderGone = st.holderGone
 	pm.coordinator.HolderListed = st.holderListed
 	pm.coordinator.Upstream = func(name string) (event.Upstream, bool) {
 		rep, ok := st.Route.Replicas[name]
@@ -59,8 +59,8 @@
 	return engines
 }
 
-// holderEnded reports whether a run of an instance has ended: it was declared dead, or a later run has its name.
-func (st *State) holderEnded(name string, incarnation uint64) bool {
+// holderGone reports whether a run of an instance has ended: it was declared dead, or a later run has its name.
+func (st *State) holderGone(name string, incarnation uint64) bool {
 	if name == st.Options.Name {
 		return incarnation < st.Options.Incarnation
 	}
@@ -74,9 +74,9 @@
 	return ok || name == st.Options.Name
 }
 
-// handlePeerOpened records this instance's own peer address, so that it can coordinate pools and be answered before the
-// platform lists it.
-func (st *State) handlePeerOpened(ev event.PeerListening) {
+// handlePeerListening records this instance's own peer address, so that it can coordinate pools and receive answers before
+// the platform lists it.
+func (st *State) handlePeerListening(ev event.PeerListening) {
 	if st.Member != nil && st.Member.Self.Peer == "" {
 		st.Member.Self.Peer = ev.Address
 		st.Member.Changed = true
@@ -135,7 +135,7 @@
 	return opts.NameRequest(id)
 }
 
-func (st *State) askPermit(req *Request) {
+func (st *State) requestPermit(req *Request) {
 	req.Phase = PhasePermit
 	if st.permits == nil {
 		st.emit(effect.RequestPermit{
@@ -155,7 +155,7 @@
 		return
 	}
 	req.requestedPermit = st.Options.RequestName(req.ID) + effect.PermitSeparator + strconv.Itoa(req.Attempt+1)
-	ask := event.PermitRequested{
+	pr := event.PermitRequested{
 		Request:      req.requestedPermit,
 		Service:      req.Service,
 		Organisation: req.Organisation,
@@ -166,12 +166,12 @@
 		Wait:         req.Deadline.Sub(st.now),
 		Waited:       st.now.Sub(req.At),
 	}
-	st.effects = append(st.effects, st.permits.holder.Ask(st.now, req.ID, ask, domains)...)
+	st.effects = append(st.effects, st.permits.holder.Request(st.now, req.ID, pr, domains)...)
 }
 
-// askDelayed asks for permits for the delayed requests. A request whose pause is not over is delayed again, and one whose
-// state has changed since is skipped.
-func (st *State) askDelayed() {
+// requestDelayedPermits requests permits for the delayed requests. A request whose pause is not over is delayed again, and
+// one whose state has changed since is skipped.
+func (st *State) requestDelayedPermits() {
 	if st.permits == nil || len(st.permits.delayed) == 0 {
 		return
 	}
@@ -179,7 +179,7 @@
 	st.permits.delayed = nil
 	for _, id := range waiting {
 		if req, ok := st.Requests[id]; ok && req.Phase == PhasePermit && req.requestedPermit == "" {
-			st.askPermit(req)
+			st.requestPermit(req)
 		}
 	}
 }
--- a/internal/core/poison.go
+++ b/internal/core/quarantine.go
@@ -32,7 +32,7 @@
 }
 
 func (st *State) checkQuarantine(digest event.Digest) *effect.Refusal {
-	entry, ok := st.poison.byDigest[digest]
+	entry, ok := st.quarantine.byDigest[digest]
 	if !ok || entry.Deaths < deathsToQuarantine || !st.now.Before(entry.Until) {
 		return nil
 	}
@@ -54,14 +54,14 @@
 		return nil
 	}
 	req.Suspect = true
-	entry := st.poison.byDigest[req.Digest]
+	entry := st.quarantine.byDigest[req.Digest]
 	entry.Digest = req.Digest
 	entry.Deaths++
 	entry.Until = st.now.Add(deathTTL)
 	if entry.Deaths >= deathsToQuarantine {
 		entry.Until = st.now.Add(quarantineTTL)
 	}
-	st.storeDeaths(entry)
+	st.storeEntry(entry)
 	st.emit(effect.AnnounceQuarantine{Quarantined: entry})
 	if entry.Deaths < deathsToQuarantine {
 		return nil
@@ -79,36 +79,36 @@
 // sent there looks like a crash, and two dead replicas would quarantine everything tried on both. It also records the first
 // crash of an upstream.
 func (st *State) wasAlreadyDead(req *Request, upstream string) bool {
-	since, dead := st.poison.deadSince[upstream]
+	since, dead := st.quarantine.deadSince[upstream]
 	if dead {
 		return !req.SentAt.Before(since)
 	}
-	if len(st.poison.deadSince) >= maxQuarantineEntries {
-		clear(st.poison.deadSince)
+	if len(st.quarantine.deadSince) >= maxQuarantineEntries {
+		clear(st.quarantine.deadSince)
 	}
-	st.poison.deadSince[upstream] = st.now
+	st.quarantine.deadSince[upstream] = st.now
 	return false
 }
 
 // markAlive records that the upstream was alive at the given time.
 func (st *State) markAlive(upstream string, at time.Time) {
-	if since, dead := st.poison.deadSince[upstream]; dead && at.After(since) {
-		delete(st.poison.deadSince, upstream)
+	if since, dead := st.quarantine.deadSince[upstream]; dead && at.After(since) {
+		delete(st.quarantine.deadSince, upstream)
 	}
 }
 
 // clearSuspicion clears content that an upstream has run to its end. Everything in flight on a replica that crashes becomes
 // suspect, although at most one of these requests crashed it.
 func (st *State) clearSuspicion(req *Request) {
-	entry, ok := st.poison.byDigest[req.Digest]
+	entry, ok := st.quarantine.byDigest[req.Digest]
 	if ok && entry.Deaths < deathsToQuarantine {
-		delete(st.poison.byDigest, req.Digest)
+		delete(st.quarantine.byDigest, req.Digest)
 	}
 }
 
 // isSuspect reports whether an upstream has crashed while running the request's content.
 func (st *State) isSuspect(req *Request) bool {
-	entry, ok := st.poison.byDigest[req.Digest]
+	entry, ok := st.quarantine.byDigest[req.Digest]
 	return ok && st.now.Before(entry.Until)
 }
 
@@ -124,28 +124,28 @@
 	return names
 }
 
-func (st *State) handleQuarantined(ev event.QuarantineReported) {
-	known := st.poison.byDigest[ev.Digest]
+func (st *State) handleQuarantineReported(ev event.QuarantineReported) {
+	known := st.quarantine.byDigest[ev.Digest]
 	if ev.Deaths > known.Deaths || ev.Until.After(known.Until) {
-		st.storeDeaths(ev)
+		st.storeEntry(ev)
 	}
 }
 
-func (st *State) storeDeaths(entry event.QuarantineReported) {
-	if len(st.poison.byDigest) >= maxQuarantineEntries {
-		st.dropExpiredDeaths()
+func (st *State) storeEntry(entry event.QuarantineReported) {
+	if len(st.quarantine.byDigest) >= maxQuarantineEntries {
+		st.dropExpiredEntries()
 	}
-	if _, known := st.poison.byDigest[entry.Digest]; !known && len(st.poison.byDigest) >= maxQuarantineEntries {
+	if _, known := st.quarantine.byDigest[entry.Digest]; !known && len(st.quarantine.byDigest) >= maxQuarantineEntries {
 		// All entries are still in force. Not counting one crash of unknown content does less harm than dropping one of them.
 		return
 	}
-	st.poison.byDigest[entry.Digest] = entry
+	st.quarantine.byDigest[entry.Digest] = entry
 }
 
-func (st *State) dropExpiredDeaths() {
-	for digest, entry := range st.poison.byDigest {
+func (st *State) dropExpiredEntries() {
+	for digest, entry := range st.quarantine.byDigest {
 		if !st.now.Before(entry.Until) {
-			delete(st.poison.byDigest, digest)
+			delete(st.quarantine.byDigest, digest)
 		}
 	}
 }
@@ -153,7 +153,7 @@
 // QuarantinedDigests returns the entries of the digests that are refused now.
 func (st *State) QuarantinedDigests() []event.QuarantineReported {
 	var refused []event.QuarantineReported
-	for _, entry := range st.poison.byDigest {
+	for _, entry := range st.quarantine.byDigest {
 		if entry.Deaths >= deathsToQuarantine && st.now.Before(entry.Until) {
 			refused = append(refused, entry)
 		}
@@ -164,7 +164,7 @@
 // SuspectDigests returns the entries of the digests that are suspect or quarantined now.
 func (st *State) SuspectDigests() []event.QuarantineReported {
 	var known []event.QuarantineReported
-	for _, entry := range st.poison.byDigest {
+	for _, entry := range st.quarantine.byDigest {
 		if st.now.Before(entry.Until) {
 			known = append(known, entry)
 		}
--- a/internal/core/retry_test.go
+++ b/internal/core/retry_test.go
@@ -22,16 +22,16 @@
 	return none, false
 }
 
-// lyric sends the event of a request's arrival. Requests with the same content have the same digest.
-func (in *instance) lyric(id event.RequestID, content byte) []effect.Effect {
+// arriveLyric sends the event of a request's arrival. Requests with the same content have the same digest.
+func (in *instance) arriveLyric(id event.RequestID, content byte) []effect.Effect {
 	return in.reduce(event.Arrived{
 		ID: id, Service: "lyric", PromptTokens: 1000, Idempotent: true,
 		Digest: event.Digest{content}, Deadline: in.now.Add(10 * time.Second),
 	})
 }
 
-// engines sends a list of engines with these names.
-func (in *instance) engines(names ...string) {
+// listEngines sends a list of engines with these names.
+func (in *instance) listEngines(names ...string) {
 	var listed event.UpstreamsListed
 	for _, name := range names {
 		listed.Upstreams = append(listed.Upstreams, event.Upstream{Name: name, Service: "lyric", Address: name + ":1", FailureDomain: "a"})
@@ -43,8 +43,8 @@
 	// A request crashes each engine that runs it, and its caller sends it again under a new ID. It is retried once and
 	// refused with "ran" after the second crash. The resend must be refused with "not run" at once, or it crashes more engines.
 	in := newInstance(t)
-	in.engines("lyric-0", "lyric-1", "lyric-2")
-	sent := only[effect.Send](t, in.lyric(1, 7))
+	in.listEngines("lyric-0", "lyric-1", "lyric-2")
+	sent := only[effect.Send](t, in.arriveLyric(1, 7))
 	first := in.reduce(event.AttemptEnded{ID: 1, Attempt: 1, Upstream: sent.Upstreams[0].Name, Result: event.ResultFailed})
 	reported, ok := find[effect.AnnounceQuarantine](first)
 	assert.Assert(t, ok)
@@ -55,7 +55,7 @@
 	finish, ok := find[effect.Finish](second)
 	assert.Assert(t, ok)
 	assert.Equal(t, finish.Refusal.Reason, effect.ReasonQuarantine)
-	resent := only[effect.Finish](t, in.lyric(2, 7))
+	resent := only[effect.Finish](t, in.arriveLyric(2, 7))
 	assert.Equal(t, resent.Refusal.Reason, effect.ReasonQuarantine)
 	assert.Equal(t, resent.Refusal.Ran, effect.NotRun)
 }
@@ -64,7 +64,7 @@
 	// An engine's idle timeout closes connections just as requests are sent on them, several times in a row. The request
 	// must be retried each time, and its content must not be counted as having crashed the engine.
 	in := newInstance(t)
-	sent := only[effect.Send](t, in.lyric(1, 7))
+	sent := only[effect.Send](t, in.arriveLyric(1, 7))
 	for attempt := 1; attempt <= 3; attempt++ {
 		effects := in.reduce(event.AttemptEnded{ID: 1, Attempt: attempt, Upstream: sent.Upstreams[0].Name, Result: event.ResultFailed, Alive: true})
 		_, reported := find[effect.AnnounceQuarantine](effects)
@@ -79,10 +79,10 @@
 	// An engine crashes with two requests in flight, one of which caused it. They are retried on different engines, so that
 	// the next crash shows which one it was. The innocent request completes and is no longer suspect.
 	in := newInstance(t)
-	in.engines("lyric-0")
-	only[effect.Send](t, in.lyric(1, 1))
-	only[effect.Send](t, in.lyric(2, 2))
-	in.engines("lyric-0", "lyric-1", "lyric-2")
+	in.listEngines("lyric-0")
+	only[effect.Send](t, in.arriveLyric(1, 1))
+	only[effect.Send](t, in.arriveLyric(2, 2))
+	in.listEngines("lyric-0", "lyric-1", "lyric-2")
 	guilty, ok := find[effect.Send](in.reduce(event.AttemptEnded{ID: 1, Attempt: 1, Upstream: "lyric-0", Result: event.ResultBroken}))
 	assert.Assert(t, ok)
 	innocent, ok := find[effect.Send](in.reduce(event.AttemptEnded{ID: 2, Attempt: 1, Upstream: "lyric-0", Result: event.ResultBroken}))
@@ -90,7 +90,7 @@
 	assert.Assert(t, guilty.Upstreams[0].Name != innocent.Upstreams[0].Name)
 	in.reduce(event.AttemptEnded{ID: 2, Attempt: 2, Upstream: innocent.Upstreams[0].Name, Result: event.ResultDone})
 	// Another engine crashes with the innocent content in flight; a single crash must not quarantine it.
-	sent := only[effect.Send](t, in.lyric(3, 2))
+	sent := only[effect.Send](t, in.arriveLyric(3, 2))
 	_, retried := find[effect.Send](in.reduce(event.AttemptEnded{ID: 3, Attempt: 1, Upstream: sent.Upstreams[0].Name, Result: event.ResultBroken}))
 	assert.Assert(t, retried)
 }
@@ -99,9 +99,9 @@
 	// An engine has crashed, and something in front of it still accepts connections and closes them. A request that is sent
 	// there afterwards must not be counted as having crashed it. Once the engine has reported again, the next crash counts.
 	in := newInstance(t)
-	in.engines("lyric-0")
+	in.listEngines("lyric-0")
 	counted := func(id event.RequestID) bool {
-		only[effect.Send](t, in.lyric(id, byte(id)))
+		only[effect.Send](t, in.arriveLyric(id, byte(id)))
 		in.now = in.now.Add(time.Second)
 		effects := in.reduce(event.AttemptEnded{ID: id, Attempt: 1, Upstream: "lyric-0", Result: event.ResultFailed})
 		in.reduce(event.CallerGone{ID: id})
@@ -120,7 +120,7 @@
 	// A long answer's connection breaks after every token. Attempts that make progress must not count against the maximum, or
 	// the answer would never be completed; consecutive attempts without progress end the request.
 	in := newInstance(t)
-	only[effect.Send](t, in.lyric(1, 7))
+	only[effect.Send](t, in.arriveLyric(1, 7))
 	attempt := 1
 	for ; attempt <= 50; attempt++ {
 		_, sent := find[effect.Send](in.reduce(event.AttemptEnded{ID: 1, Attempt: attempt, Upstream: "lyric-0", Result: event.ResultBroken, Offset: int64(attempt), Alive: true}))
@@ -150,7 +150,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			in := newInstance(t)
-			only[effect.Send](t, in.lyric(1, 7))
+			only[effect.Send](t, in.arriveLyric(1, 7))
 			if tc.answered {
 				in.reduce(event.AnswerStarted{ID: 1, Attempt: 1})
 			}
@@ -166,7 +166,7 @@
 	// An engine answers 400 to an invalid request. The request must be refused at once and not be retried, since other engines
 	// would answer the same.
 	in := newInstance(t)
-	only[effect.Send](t, in.lyric(1, 7))
+	only[effect.Send](t, in.arriveLyric(1, 7))
 	finish := only[effect.Finish](t, in.reduce(event.AttemptEnded{ID: 1, Attempt: 1, Upstream: "lyric-0", Result: event.ResultNotRun, Status: 400}))
 	assert.Equal(t, finish.Refusal.Reason, effect.ReasonRejected)
 	assert.Equal(t, finish.Refusal.Ran, effect.NotRun)
@@ -176,9 +176,9 @@
 	// Callers disconnect while connections to their engine are being opened. These attempts must not count as failures of the
 	// engine, which would be ejected after three of them.
 	in := newInstance(t)
-	in.engines("lyric-0", "lyric-1", "lyric-2")
+	in.listEngines("lyric-0", "lyric-1", "lyric-2")
 	for id := event.RequestID(1); id <= 30; id++ {
-		sent := only[effect.Send](t, in.lyric(id, byte(id)))
+		sent := only[effect.Send](t, in.arriveLyric(id, byte(id)))
 		in.reduce(event.CallerGone{ID: id})
 		in.reduce(event.AttemptEnded{ID: id, Attempt: 1, Upstream: sent.Upstreams[0].Name, Result: event.ResultNotSent})
 	}
@@ -191,8 +191,8 @@
 func TestSilentAttemptClosesIdleConnectionsOfItsAddress(t *testing.T) {
 	// A stream makes no progress. The engine's idle connections must be closed too, and they are identified by its address.
 	in := newInstance(t)
-	in.engines("lyric-0")
-	only[effect.Send](t, in.lyric(1, 7))
+	in.listEngines("lyric-0")
+	only[effect.Send](t, in.arriveLyric(1, 7))
 	closed, ok := find[effect.CloseIdle](in.reduce(event.AttemptEnded{ID: 1, Attempt: 1, Upstream: "lyric-0", Result: event.ResultSilent}))
 	assert.Assert(t, ok)
 	assert.Equal(t, closed.Address, "lyric-0:1")
@@ -213,7 +213,7 @@
 	assert.Assert(t, sent.FirstProgressTimeout > 50*time.Second, "%s", sent.FirstProgressTimeout)
 	assert.Equal(t, sent.ProgressTimeout, 5*time.Second)
 	in.reduce(event.AttemptEnded{ID: 1, Attempt: 1, Upstream: sent.Upstreams[0].Name, Result: event.ResultDone})
-	short := only[effect.Send](t, in.lyric(2, 7))
+	short := only[effect.Send](t, in.arriveLyric(2, 7))
 	assert.Assert(t, short.FirstProgressTimeout < 6*time.Second, "%s", short.FirstProgressTimeout)
 }
 
@@ -221,10 +221,10 @@
 	// All engines are full until a queued request's deadline passes. It must be refused then, with "not run", and be removed
 	// from the queue.
 	in := newInstance(t)
-	in.engines("lyric-0")
+	in.listEngines("lyric-0")
 	id := event.RequestID(1)
 	for ; ; id++ {
-		if _, sent := find[effect.Send](in.lyric(id, byte(id))); !sent {
+		if _, sent := find[effect.Send](in.arriveLyric(id, byte(id))); !sent {
 			break
 		}
 	}
--- a/internal/core/servetime.go
+++ b/internal/core/servetime.go
@@ -48,11 +48,11 @@
 // scheduleLatestStart schedules a check at the latest time at which a waiting request can be sent and still meet its
 // deadline, so that its caller is refused then and not only at the deadline.
 func (st *State) scheduleLatestStart(req *Request) {
-	least := st.minServeTime(req.Arrived, req.level)
-	if least <= 0 || st.baseline() {
+	serveTime := st.minServeTime(req.Arrived, req.level)
+	if serveTime <= 0 || st.baseline() {
 		return
 	}
-	at := req.Deadline.Add(-least)
+	at := req.Deadline.Add(-serveTime)
 	if at.After(st.now) {
 		st.deadlines.push(at, req.ID)
 	}
@@ -63,7 +63,7 @@
 	return !st.baseline() && req.Phase == PhaseQueued && !st.now.Before(req.Deadline.Add(-st.minServeTime(req.Arrived, req.level)))
 }
 
-// ejectSlow lets the router compare the replicas' speeds, and emits a note for each replica ejected as far slower than its
+// ejectSlow lets the router compare the replicas' speeds, and counts and logs each replica ejected as far slower than its
 // pool.
 func (st *State) ejectSlow() {
 	for _, name := range st.Route.Tick(st.now) {
--- a/internal/core/share.go
+++ b/internal/core/share.go
@@ -59,7 +59,7 @@
 	return allocator
 }
 
-func (st *State) handleDemandHeard(ev event.DemandReceived) {
+func (st *State) handleDemandReceived(ev event.DemandReceived) {
 	shares := st.Admit.AllocateShares(st.now, ev.From, ev.Demands)
 	for _, inst := range st.Instances {
 		if inst.Name == ev.From {
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -27,8 +27,8 @@
 	NameRequest func(id event.RequestID) string
 	// Permits makes long prompts wait for a permit from their pool's coordinator.
 	Permits bool
-	// Policy chooses the replicas; nil is route.Sail. The other policies are baselines, under which requests are also served
-	// in order of arrival, without permits and without priorities at the engines.
+	// Policy chooses the replicas; nil is route.LowestCost. The other policies are baselines, under which requests are also
+	// served in order of arrival, without permits and without priorities at the engines.
 	Policy route.Policy
 }
 
@@ -53,7 +53,7 @@
 	permits        *permitState
 	effects        []effect.Effect
 	deadlines      deadlineHeap
-	poison         quarantine
+	quarantine     quarantine
 	table          table
 	reasonCounters map[reasonKey]string
 	// nextDemands is the time at which the organisations' demands are sent next.
@@ -84,8 +84,8 @@
 	Class decl.LengthClass
 	// level is the number of distinct class priorities below that of its class.
 	level int
-	// above is the number of distinct class priorities above that of its class.
-	above int
+	// higherClasses is the number of distinct class priorities above that of its class.
+	higherClasses int
 	// At is the time of arrival.
 	At time.Time
 	// Attempt is the number of the latest attempt, counted from 1; 0 before the first.
@@ -133,7 +133,7 @@
 		Admit:          admit.New(),
 		Route:          route.New(opts.FailureDomain, opts.Seed),
 		Requests:       map[event.RequestID]*Request{},
-		poison:         newQuarantine(),
+		quarantine:     newQuarantine(),
 		table:          newTable(&decl.Config{}),
 		reasonCounters: map[reasonKey]string{},
 	}
@@ -152,8 +152,8 @@
 
 // baseline reports whether the instance runs a policy that exists only for comparison.
 func (st *State) baseline() bool {
-	_, isSail := st.Route.Policy.(route.LowestCost)
-	return !isSail
+	_, lowestCost := st.Route.Policy.(route.LowestCost)
+	return !lowestCost
 }
 
 // Reduce applies an event that occurs at the given time and returns the effects to perform. The slice is valid until the
@@ -167,7 +167,7 @@
 	case event.CallerGone:
 		st.handleCallerGone(ev)
 	case event.AnswerStarted:
-		st.handleAnswering(ev)
+		st.handleAnswerStarted(ev)
 	case event.AttemptEnded:
 		st.handleAttemptEnded(ev)
 	case event.ClaimSettled:
@@ -189,16 +189,16 @@
 	case event.ConfigAccepted:
 		st.handleConfigAccepted(ev)
 	case event.QuarantineReported:
-		st.handleQuarantined(ev)
+		st.handleQuarantineReported(ev)
 	case event.DemandReceived:
-		st.handleDemandHeard(ev)
+		st.handleDemandReceived(ev)
 	case event.SharesReceived:
 		st.Admit.ApplyShares(st.now, ev.Shares)
 	case event.DrainStarted:
 		st.Draining = true
 		st.reduceMembership(ev)
 	case event.PeerListening:
-		st.handlePeerOpened(ev)
+		st.handlePeerListening(ev)
 	case event.ProbeReceived, event.ProbeAcked, event.GossipReceived:
 		st.reduceMembership(ev)
 	case event.PermitRequested, event.PermitDecided, event.PermitReturned, event.PermitRenewed, event.PermitStatusReceived:
@@ -206,7 +206,7 @@
 	case event.Ticked:
 		st.reduceMembership(ev)
 		st.reducePermits(ev)
-		st.askDelayed()
+		st.requestDelayedPermits()
 		st.expire()
 		st.ejectSlow()
 		st.sendDemands()
--- a/internal/core/table.go
+++ b/internal/core/table.go
@@ -10,8 +10,8 @@
 type table struct {
 	services map[string]*service
 	classes  []lengthClass
-	// notes caches the effects that increment counters, by counter, so that counting allocates nothing.
-	notes map[string]effect.Effect
+	// countEffects caches the effects that increment counters, by counter, so that counting allocates nothing.
+	countEffects map[string]effect.Effect
 }
 
 // service is a declared service with its defaults applied.
@@ -25,12 +25,12 @@
 	decl.LengthClass
 	// level is the number of distinct priorities below that of this class.
 	level int
-	// above is the number of distinct priorities above that of this class.
-	above int
+	// higherClasses is the number of distinct priorities above that of this class.
+	higherClasses int
 }
 
 func newTable(cfg *decl.Config) table {
-	tb := table{services: make(map[string]*service, len(cfg.Services)), notes: map[string]effect.Effect{}}
+	tb := table{services: make(map[string]*service, len(cfg.Services)), countEffects: map[string]effect.Effect{}}
 	for name, svc := range cfg.Services {
 		svc = svc.WithDefaults()
 		tb.services[name] = &service{Service: svc, discipline: admit.DisciplineOf(svc)}
@@ -51,7 +51,7 @@
 			higher[other.Priority] = true
 		}
 	}
-	return lengthClass{LengthClass: class, level: len(lower), above: len(higher)}
+	return lengthClass{LengthClass: class, level: len(lower), higherClasses: len(higher)}
 }
 
 // classOf returns the length class of a prompt, or the last class and false if the prompt is longer than any class allows.
@@ -64,24 +64,24 @@
 	return tb.classes[len(tb.classes)-1], false
 }
 
-// undeclared replaces a service that a configuration removed while requests for it were under way.
-var undeclared = &service{Service: decl.Service{}.WithDefaults(), discipline: admit.Priority{}}
+// undeclaredService replaces a service that a configuration removed while requests for it were under way.
+var undeclaredService = &service{Service: decl.Service{}.WithDefaults(), discipline: admit.Priority{}}
 
 func (st *State) service(req *Request) *service {
 	svc, ok := st.table.services[req.Service]
 	if !ok {
-		return undeclared
+		return undeclaredService
 	}
 	return svc
 }
 
 func (st *State) count(counter string) {
-	note, ok := st.table.notes[counter]
+	eff, ok := st.table.countEffects[counter]
 	if !ok {
-		note = effect.CountAndLog{Counter: counter}
-		st.table.notes[counter] = note
+		eff = effect.CountAndLog{Counter: counter}
+		st.table.countEffects[counter] = eff
 	}
-	st.emit(note)
+	st.emit(eff)
 }
 
 // countReason increments the counter named by the prefix and the reason. It caches the few names that this gives.
--- a/internal/effect/effect.go
+++ b/internal/effect/effect.go
@@ -24,14 +24,14 @@
 	Priority int
 	// Permit is the name of the reservation, empty for prompts sent without one.
 	Permit string
-	// NewConnection asks for a new connection, because a reused one may be silent or because the transport must not repeat the
-	// request.
+	// NewConnection asks for a new connection, because a reused one may be silent or because the transport must not repeat
+	// the request.
 	NewConnection bool
 	// Deadline is the time by which the attempt must have ended.
 	Deadline time.Time
 	// ProgressTimeout is the maximum time without progress.
 	ProgressTimeout time.Duration
-	// FirstProgressTimeout is the maximum time without progress before the first byte of the answer; 0 means Silence.
+	// FirstProgressTimeout is the maximum time without progress before the first byte of the answer; 0 means ProgressTimeout.
 	FirstProgressTimeout time.Duration
 }
 
@@ -72,7 +72,8 @@
 	ReasonOverloaded Reason = "Overloaded"
 	// ReasonDeadline means that the deadline has passed or is too early for the request.
 	ReasonDeadline Reason = "DeadlineExceeded"
-	// ReasonPromptTooLong means that the prompt exceeds every length class, or that prompt and answer exceed one engine's memory.
+	// ReasonPromptTooLong means that the prompt exceeds every length class, or that prompt and answer exceed one engine's
+	// memory.
 	ReasonPromptTooLong Reason = "PromptTooLong"
 	// ReasonNoUpstream means that no replica of the service is live, or that a granted engine has left.
 	ReasonNoUpstream Reason = "NoUpstream"
@@ -191,7 +192,7 @@
 	Address string
 }
 
-// CountAndLog increments a counter and, if Line is set, logs a change of state.
+// CountAndLog increments a counter and, if LogMessage is set, logs a change of state.
 type CountAndLog struct {
 	// Counter is the name of the metric.
 	Counter string
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -61,8 +61,8 @@
 	RetryAfter time.Duration
 	// Status is the upstream's HTTP status, 0 if none was received.
 	Status int
-	// Alive reports that the upstream accepted a new connection after it had closed the attempt's connection, so that the
-	// request did not crash it.
+	// Alive reports that the upstream accepted a new connection after it had closed the attempt's connection, which shows
+	// that the request did not crash it.
 	Alive bool
 }
 
@@ -122,8 +122,10 @@
 	// First is the sequence number of the batch's first event. A gap to the previous batch means that events were lost.
 	First int64
 	// Last is the sequence number of the batch's last event.
-	Last    int64
-	Added   []uint64
+	Last int64
+	// Added are the hashes of the prefixes that the engine added to its cache, of the same kind as Arrived.Prefixes.
+	Added []uint64
+	// Removed are the hashes of the prefixes that the engine removed from its cache.
 	Removed []uint64
 	// Cleared reports that the engine lost its whole cache.
 	Cleared bool
@@ -157,7 +159,7 @@
 // ConfigAccepted carries a version of the configuration. A version that is not higher than the one in force is ignored.
 type ConfigAccepted struct{ Config *decl.Config }
 
-// PermitAnswered carries the coordinator's answer to an effect.AskPermit.
+// PermitAnswered carries the coordinator's answer to an effect.RequestPermit.
 type PermitAnswered struct {
 	ID      RequestID
 	Granted bool
@@ -223,7 +225,8 @@
 type Demand struct {
 	_            struct{} `cbor:",toarray"`
 	Organisation string
-	// Fraction is the largest fraction of any of the limits: 1 is the whole limit, and a higher demand exceeds it.
+	// Fraction is the demand as a fraction of the limit of which the organisation uses the largest fraction. Above 1 the
+	// demand exceeds that limit.
 	Fraction float32
 }
 
@@ -231,7 +234,7 @@
 type Share struct {
 	_            struct{} `cbor:",toarray"`
 	Organisation string
-	// Fraction is a fraction from 0 to 1.
+	// Fraction is the share as a fraction of each limit, from 0 to 1.
 	Fraction float32
 }
 
--- a/internal/event/member.go
+++ b/internal/event/member.go
@@ -1,9 +1,9 @@
 package event
 
-// MemberStatus is the status that a Word reports.
+// MemberStatus is the status that a StatusUpdate reports.
 type MemberStatus uint8
 
-// The states in order of precedence: a later one replaces an earlier one of the same incarnation.
+// The statuses in order of precedence: a later one replaces an earlier one of the same incarnation.
 const (
 	// StatusAlive is sent by the member itself.
 	StatusAlive MemberStatus = iota + 1
--- a/internal/event/permit.go
+++ b/internal/event/permit.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// PermitRequested carries an instance's request for a reservation, or its report of one that it already holds. It may arrive
-// more than once.
+// PermitRequested carries an instance's request for a reservation, or its report of one that it already holds. It may
+// arrive more than once.
 type PermitRequested struct {
 	_ struct{} `cbor:",toarray"`
 	// Holder is the name of the requesting instance.
@@ -31,7 +31,7 @@
 	Upstreams []string
 }
 
-// PermitDecided carries a coordinator's answer to a PermitAsked.
+// PermitDecided carries a coordinator's answer to a PermitRequested.
 type PermitDecided struct {
 	_ struct{} `cbor:",toarray"`
 	// From is the name of the coordinator.
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -47,10 +47,10 @@
 }
 
 func (st *State) applyUpstreamLeaving(upd event.StatusUpdate) {
-	if _, known := st.leavingUpstreams[upd]; known || len(st.leavingUpstreams) >= maxLeavingUpstreams {
+	if _, known := st.leavingSeenAt[upd]; known || len(st.leavingSeenAt) >= maxLeavingUpstreams {
 		return
 	}
-	st.leavingUpstreams[upd] = st.now
+	st.leavingSeenAt[upd] = st.now
 	st.LeavingUpstreams = append(st.LeavingUpstreams, upd)
 	st.broadcast(upd)
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -39,7 +39,7 @@
 // Member is what is known about another instance.
 type Member struct {
 	Instance event.Instance
-	// State is WordAlive, WordSuspect, WordDead or WordLeaving.
+	// State is StatusAlive, StatusSuspect, StatusDead or StatusLeaving.
 	State event.MemberStatus
 	// Incarnation is the highest one received, 0 if none was received yet.
 	Incarnation uint64
@@ -72,7 +72,8 @@
 	Members map[string]*Member
 	// Changed is set when the members, their states or this instance's own entry change. The caller resets it.
 	Changed bool
-	// LeavingUpstreams contains the updates about leaving upstreams that the caller has not processed yet. The caller clears it.
+	// LeavingUpstreams contains the updates about leaving upstreams that the caller has not processed yet. The caller clears
+	// it.
 	LeavingUpstreams []event.StatusUpdate
 
 	// suspects contains the names of the suspected members, so that a tick does not have to check all members.
@@ -89,21 +90,21 @@
 	probes map[uint64]*probe
 	// broadcasts contains the updates still to be sent with probes.
 	broadcasts []*queuedUpdate
-	// leavingUpstreams contains the updates about leaving upstreams with the time of the last list that named the upstream,
+	// leavingSeenAt contains the updates about leaving upstreams with the time of the last list that named the upstream,
 	// or the time of the update itself if no list has named it since.
-	leavingUpstreams map[event.StatusUpdate]time.Time
+	leavingSeenAt map[event.StatusUpdate]time.Time
 }
 
 // New returns the state of an instance that knows no other members.
 func New(self event.Instance, incarnation, seed uint64) *State {
 	return &State{
-		Self:             self,
-		Incarnation:      incarnation,
-		Members:          map[string]*Member{},
-		random:           rand.New(rand.NewPCG(seed, incarnation)),
-		probes:           map[uint64]*probe{},
-		leavingUpstreams: map[event.StatusUpdate]time.Time{},
-		suspects:         map[string]bool{},
+		Self:          self,
+		Incarnation:   incarnation,
+		Members:       map[string]*Member{},
+		random:        rand.New(rand.NewPCG(seed, incarnation)),
+		probes:        map[uint64]*probe{},
+		leavingSeenAt: map[event.StatusUpdate]time.Time{},
+		suspects:      map[string]bool{},
 	}
 }
 
@@ -117,9 +118,9 @@
 	case event.UpstreamsListed:
 		st.handleUpstreamsListed(ev)
 	case event.ProbeReceived:
-		st.handleProbed(ev)
+		st.handleProbeReceived(ev)
 	case event.ProbeAcked:
-		st.handleAcked(ev)
+		st.handleProbeAcked(ev)
 	case event.GossipReceived:
 		st.applyAll(ev.Words)
 	case event.DrainStarted:
@@ -219,13 +220,13 @@
 		if up.Leaving {
 			st.apply(upd)
 		}
-		if _, ok := st.leavingUpstreams[upd]; ok {
-			st.leavingUpstreams[upd] = st.now
+		if _, ok := st.leavingSeenAt[upd]; ok {
+			st.leavingSeenAt[upd] = st.now
 		}
 	}
-	for upd, at := range st.leavingUpstreams {
+	for upd, at := range st.leavingSeenAt {
 		if st.now.Sub(at) > leavingRetention {
-			delete(st.leavingUpstreams, upd)
+			delete(st.leavingSeenAt, upd)
 		}
 	}
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -64,8 +64,8 @@
 		return
 	}
 	for _, eff := range fl.states[number].Reduce(fl.now, ev) {
-		if tell, ok := eff.(effect.SendToPeer); ok {
-			fl.queue = append(fl.queue, tell)
+		if send, ok := eff.(effect.SendToPeer); ok {
+			fl.queue = append(fl.queue, send)
 		}
 	}
 }
@@ -76,8 +76,8 @@
 		fl.now = fl.now.Add(tick)
 		sent := fl.queue
 		fl.queue = nil
-		for _, tell := range sent {
-			fl.deliver(tell)
+		for _, send := range sent {
+			fl.deliver(send)
 		}
 		for i := range fl.states {
 			fl.reduce(i, event.Ticked{})
@@ -85,16 +85,16 @@
 	}
 }
 
-func (fl *fleet) deliver(tell effect.SendToPeer) {
-	raw, _ := wire.Encode(tell.Message)
+func (fl *fleet) deliver(send effect.SendToPeer) {
+	raw, _ := wire.Encode(send.Message)
 	fl.bytes += len(raw)
 	fl.count++
 	if fl.random.Float64() < fl.loss {
 		return
 	}
 	var number int
-	_, _ = fmt.Sscan(tell.Address, &number)
-	switch msg := tell.Message.(type) {
+	_, _ = fmt.Sscan(send.Address, &number)
+	switch msg := send.Message.(type) {
 	case wire.Probe:
 		fl.reduce(number, event.ProbeReceived(msg))
 	case wire.ProbeAck:
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -54,13 +54,13 @@
 	st.probes[st.seq] = pr
 	updates := st.piggyback(1)
 	if mb.State != event.StatusAlive {
-		// Tells the member its state as known here, so that it can refute it.
+		// Sends the member the state that is recorded for it here, so that it can refute it.
 		updates = append(updates, event.StatusUpdate{Name: pr.target, State: mb.State, Incarnation: mb.Incarnation})
 	}
 	st.send(mb.Instance.Peer, wire.Probe{From: st.Self.Name, Peer: st.Self.Peer, Seq: st.seq, Words: updates})
 }
 
-func (st *State) handleProbed(ev event.ProbeReceived) {
+func (st *State) handleProbeReceived(ev event.ProbeReceived) {
 	st.applyAll(ev.Words)
 	if ev.For != "" {
 		if mb, ok := st.Members[ev.For]; ok {
@@ -79,7 +79,7 @@
 	return event.StatusUpdate{Name: st.Self.Name, State: state, Incarnation: st.Incarnation}
 }
 
-func (st *State) handleAcked(ev event.ProbeAcked) {
+func (st *State) handleProbeAcked(ev event.ProbeAcked) {
 	st.applyAll(ev.Words)
 	pr, ok := st.probes[ev.Seq]
 	if !ok || pr.target != ev.From {
--- a/internal/permit/holder.go
+++ b/internal/permit/holder.go
@@ -72,16 +72,16 @@
 	}
 }
 
-// Ask requests a permit from the pools of the failure domains, in their order, and returns the messages to send. Reduce
-// returns an event.PermitAnswered later, unless the request is released before.
-func (ho *Holder) Ask(now time.Time, id event.RequestID, ask event.PermitRequested, domains []string) []effect.Effect {
+// Request requests a permit from the pools of the failure domains, in their order, and returns the messages to send.
+// Reduce returns an event.PermitAnswered later, unless the request is released before.
+func (ho *Holder) Request(now time.Time, id event.RequestID, req event.PermitRequested, domains []string) []effect.Effect {
 	ho.now = now
 	ho.effects = ho.effects[:0]
-	ask.Holder = ho.Self.Name
-	ask.Incarnation = ho.Incarnation
-	ask.Peer = ho.Self.Peer
-	hd := &hold{PermitRequested: ask, id: id, since: now.Add(-ask.Waited), until: now.Add(ask.Wait), movedAt: now, nextDomains: domains}
-	ho.holds[ask.Request] = hd
+	req.Holder = ho.Self.Name
+	req.Incarnation = ho.Incarnation
+	req.Peer = ho.Self.Peer
+	hd := &hold{PermitRequested: req, id: id, since: now.Add(-req.Waited), until: now.Add(req.Wait), movedAt: now, nextDomains: domains}
+	ho.holds[req.Request] = hd
 	hd.moveToNextDomain()
 	ho.sendHold(hd)
 	return ho.effects
@@ -123,16 +123,16 @@
 	return nil
 }
 
-// Reduce applies one event and returns the messages to send and the answers to earlier calls of Ask.
+// Reduce applies one event and returns the messages to send and the answers to earlier calls of Request.
 func (ho *Holder) Reduce(now time.Time, ev event.Event) ([]effect.Effect, []event.PermitAnswered) {
 	ho.now = now
 	ho.effects = ho.effects[:0]
 	var answers []event.PermitAnswered
 	switch ev := ev.(type) {
 	case event.PermitDecided:
-		answers = ho.handleGranted(ev)
+		answers = ho.handleDecided(ev)
 	case event.PermitStatusReceived:
-		ho.handleKnown(ev)
+		ho.handleStatusReceived(ev)
 	case event.Ticked:
 		answers = ho.tick()
 	}
@@ -225,19 +225,19 @@
 	}
 	hd.attempts++
 	hd.sentAt = ho.now
-	ho.sendAsk(to, hd)
+	ho.sendRequest(to, hd)
 	return true
 }
 
-func (ho *Holder) sendAsk(to event.Instance, hd *hold) {
-	ask := hd.PermitRequested
-	ask.Peer = ho.Self.Peer
-	ask.Waited = ho.now.Sub(hd.since)
-	ask.Wait = hd.until.Sub(ho.now)
-	ho.send(to, wire.PermitRequest(ask))
+func (ho *Holder) sendRequest(to event.Instance, hd *hold) {
+	req := hd.PermitRequested
+	req.Peer = ho.Self.Peer
+	req.Waited = ho.now.Sub(hd.since)
+	req.Wait = hd.until.Sub(ho.now)
+	ho.send(to, wire.PermitRequest(req))
 }
 
-func (ho *Holder) handleGranted(ev event.PermitDecided) []event.PermitAnswered {
+func (ho *Holder) handleDecided(ev event.PermitDecided) []event.PermitAnswered {
 	hd, ok := ho.holds[ev.Request]
 	if !ok {
 		if ev.Granted {
@@ -275,7 +275,7 @@
 	}
 }
 
-func (ho *Holder) handleKnown(ev event.PermitStatusReceived) {
+func (ho *Holder) handleStatusReceived(ev event.PermitStatusReceived) {
 	delete(ho.unanswered, ev.From)
 	for _, request := range ev.Unknown {
 		hd, ok := ho.holds[request]
@@ -284,7 +284,7 @@
 		}
 		for _, to := range ho.recipients(hd) {
 			if to.Name == ev.From {
-				ho.sendAsk(to, hd)
+				ho.sendRequest(to, hd)
 			}
 		}
 	}
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -65,11 +65,12 @@
 	Self string
 	// Engines returns the live replicas of a pool, sorted by name.
 	Engines func(pool Pool) []Engine
-	// Upstream returns a replica by name, including leaving and gone ones as long as they are known.
+	// Upstream returns a replica by name, including leaving ones and unlisted ones that are not yet removed.
 	Upstream func(name string) (event.Upstream, bool)
 	// HolderGone reports whether the holder's run has ended: it was declared dead, or a later run has its name.
 	HolderGone func(holder string, incarnation uint64) bool
-	// HolderListed reports whether the platform's list contains the holder. A new holder is not in it yet, a dead one no longer.
+	// HolderListed reports whether the platform's list contains the holder. A new holder is not in it yet, a dead one no
+	// longer.
 	HolderListed func(holder string) bool
 
 	now     time.Time
@@ -103,13 +104,13 @@
 	return &Coordinator{Self: self, pools: map[Pool]*pool{}}
 }
 
-// Reduce applies one event and returns the effects to carry out. The slice is valid until the next call.
+// Reduce applies one event and returns the effects to perform. The slice is valid until the next call.
 func (co *Coordinator) Reduce(now time.Time, ev event.Event) []effect.Effect {
 	co.now = now
 	co.effects = co.effects[:0]
 	switch ev := ev.(type) {
 	case event.PermitRequested:
-		co.handleAsked(ev)
+		co.handleRequested(ev)
 	case event.PermitReturned:
 		co.handleReturned(ev)
 	case event.PermitRenewed:
@@ -148,7 +149,7 @@
 	return pl
 }
 
-func (co *Coordinator) handleAsked(ev event.PermitRequested) {
+func (co *Coordinator) handleRequested(ev event.PermitRequested) {
 	ev.Tokens = max(1, ev.Tokens)
 	pl := co.pool(Pool{ev.Service, ev.FailureDomain})
 	if rv, ok := pl.reservations[ev.Request]; ok {
@@ -203,12 +204,12 @@
 	co.answer(rv.PermitRequested, wire.PermitGrant{Granted: true, Upstreams: rv.Upstreams, Lasts: rv.Until.Sub(co.now)})
 }
 
-func (co *Coordinator) answer(ask event.PermitRequested, msg wire.PermitGrant) {
+func (co *Coordinator) answer(req event.PermitRequested, msg wire.PermitGrant) {
 	msg.From = co.Self
-	msg.Request = ask.Request
-	msg.Service = ask.Service
-	msg.FailureDomain = ask.FailureDomain
-	co.send(ask.Peer, msg)
+	msg.Request = req.Request
+	msg.Service = req.Service
+	msg.FailureDomain = req.FailureDomain
+	co.send(req.Peer, msg)
 }
 
 func (co *Coordinator) handleReturned(ev event.PermitReturned) {
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -37,7 +37,7 @@
 	return co
 }
 
-func newAsk(request string, tokens int64) event.PermitRequested {
+func newRequest(request string, tokens int64) event.PermitRequested {
 	return event.PermitRequested{
 		Holder: "entry-1", Peer: "1", Request: request, Service: "lyric", FailureDomain: "a", Organisation: "parish",
 		Weight: 1, Tokens: tokens, Wait: time.Minute,
@@ -47,8 +47,8 @@
 func grantedUpstreams(effects []effect.Effect) map[string][]string {
 	granted := map[string][]string{}
 	for _, eff := range effects {
-		if tell, ok := eff.(effect.SendToPeer); ok {
-			if msg, ok := tell.Message.(wire.PermitGrant); ok && msg.Granted {
+		if send, ok := eff.(effect.SendToPeer); ok {
+			if msg, ok := send.Message.(wire.PermitGrant); ok && msg.Granted {
 				granted[msg.Request] = msg.Upstreams
 			}
 		}
@@ -72,7 +72,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				asked++
-				effects = co.Reduce(now, newAsk(request, rapid.Int64Range(1, 3*memory).Draw(t, "tokens")))
+				effects = co.Reduce(now, newRequest(request, rapid.Int64Range(1, 3*memory).Draw(t, "tokens")))
 			case 1:
 				effects = co.Reduce(now, event.PermitReturned{Request: request, Service: "lyric", FailureDomain: "a"})
 			case 2:
@@ -102,15 +102,15 @@
 	// wait; after that nothing else is granted before it, and it gets all engines at once.
 	co := newCoordinator(3)
 	now := start
-	co.Reduce(now, newAsk("small-0", 200_000))
+	co.Reduce(now, newRequest("small-0", 200_000))
 	now = now.Add(time.Second)
 	co.Reduce(now, event.Ticked{})
-	large := newAsk("large", 3*memory*8/10)
+	large := newRequest("large", 3*memory*8/10)
 	co.Reduce(now, large)
 	var held []string
 	for i := 1; i < 100; i++ {
 		now = now.Add(time.Second)
-		granted := grantedUpstreams(co.Reduce(now, newAsk(fmt.Sprintf("small-%d", i), 200_000)))
+		granted := grantedUpstreams(co.Reduce(now, newRequest(fmt.Sprintf("small-%d", i), 200_000)))
 		for request := range granted {
 			held = append(held, request)
 		}
@@ -146,7 +146,7 @@
 		t.Run(name, func(t *testing.T) {
 			co := newCoordinator(2)
 			now := start
-			co.Reduce(now, newAsk("r", 500_000))
+			co.Reduce(now, newRequest("r", 500_000))
 			now = now.Add(time.Second)
 			assert.Equal(t, len(grantedUpstreams(co.Reduce(now, event.Ticked{}))["r"]), 2)
 			co.HolderGone = func(string, uint64) bool { return tc.dead }
@@ -169,11 +169,11 @@
 	co := newCoordinator(1)
 	now := start
 	for i := range 10 {
-		co.Reduce(now, newAsk(fmt.Sprint("much-", i), 300_000))
+		co.Reduce(now, newRequest(fmt.Sprint("much-", i), 300_000))
 	}
 	now = now.Add(time.Second)
 	assert.Equal(t, len(grantedUpstreams(co.Reduce(now, event.Ticked{}))), 1)
-	other := newAsk("little", 300_000)
+	other := newRequest("little", 300_000)
 	other.Organisation = "choir"
 	co.Reduce(now, other)
 	granted := grantedUpstreams(co.Reduce(now, event.PermitReturned{Request: "much-0", Service: "lyric", FailureDomain: "a"}))
@@ -207,18 +207,18 @@
 
 func (cl *cluster) deliver(effects []effect.Effect) {
 	for _, eff := range append([]effect.Effect(nil), effects...) {
-		tell, ok := eff.(effect.SendToPeer)
-		if !ok || tell.Address == cl.down {
+		send, ok := eff.(effect.SendToPeer)
+		if !ok || send.Address == cl.down {
 			continue
 		}
-		cl.recipients = append(cl.recipients, tell.Address)
-		switch msg := tell.Message.(type) {
+		cl.recipients = append(cl.recipients, send.Address)
+		switch msg := send.Message.(type) {
 		case wire.PermitRequest:
-			cl.deliver(cl.cos[tell.Address].Reduce(cl.now, event.PermitRequested(msg)))
+			cl.deliver(cl.cos[send.Address].Reduce(cl.now, event.PermitRequested(msg)))
 		case wire.PermitRenew:
-			cl.deliver(cl.cos[tell.Address].Reduce(cl.now, event.PermitRenewed(msg)))
+			cl.deliver(cl.cos[send.Address].Reduce(cl.now, event.PermitRenewed(msg)))
 		case wire.PermitReturn:
-			cl.deliver(cl.cos[tell.Address].Reduce(cl.now, event.PermitReturned(msg)))
+			cl.deliver(cl.cos[send.Address].Reduce(cl.now, event.PermitReturned(msg)))
 		case wire.PermitGrant:
 			if msg.Granted && cl.lostGrants > 0 {
 				cl.lostGrants--
@@ -254,12 +254,12 @@
 	// and reports its permit to the next coordinator, which must record the memory of the running prompt as reserved before
 	// it grants anything. The other prompt must wait there until the running one is released.
 	cl := newCluster()
-	cl.deliver(cl.holder.Ask(cl.now, 1, newAsk("running", 1_000_000), []string{"a"}))
+	cl.deliver(cl.holder.Request(cl.now, 1, newRequest("running", 1_000_000), []string{"a"}))
 	cl.run(time.Second)
 	assert.Equal(t, len(cl.answers), 1)
 	assert.Equal(t, len(cl.answers[0].Upstreams), 3)
 	cl.down = cl.recipients[0]
-	cl.deliver(cl.holder.Ask(cl.now, 2, newAsk("waiting", 300_000), []string{"a"}))
+	cl.deliver(cl.holder.Request(cl.now, 2, newRequest("waiting", 300_000), []string{"a"}))
 	cl.run(2 * time.Second)
 	assert.Equal(t, len(cl.answers), 1, "the second must wait: %v", cl.answers)
 	cl.deliver(cl.holder.Release(cl.now, "running"))
@@ -274,7 +274,7 @@
 	// would never get an answer.
 	cl := newCluster()
 	cl.lostGrants = 1
-	cl.deliver(cl.holder.Ask(cl.now, 1, newAsk("r", 1_000_000), []string{"a"}))
+	cl.deliver(cl.holder.Request(cl.now, 1, newRequest("r", 1_000_000), []string{"a"}))
 	cl.run(3 * time.Second)
 	assert.Equal(t, cl.lostGrants, 0)
 	assert.Equal(t, len(cl.answers), 1)
@@ -288,7 +288,7 @@
 	cl.cos = map[string]*permit.Coordinator{}
 	cl.holder.Instances = cl.holder.Instances[:1]
 	cl.down = cl.holder.Instances[0].Name
-	cl.deliver(cl.holder.Ask(cl.now, 1, newAsk("r", 1000), []string{"a"}))
+	cl.deliver(cl.holder.Request(cl.now, 1, newRequest("r", 1000), []string{"a"}))
 	cl.run(2 * time.Second)
 	assert.Equal(t, len(cl.answers), 1)
 	assert.Assert(t, cl.answers[0].Lost)
@@ -302,14 +302,14 @@
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
 			co := newCoordinator(poolSize)
 			now := start.Add(time.Second)
-			co.Reduce(start, newAsk("first", 1))
+			co.Reduce(start, newRequest("first", 1))
 			for i := range waiting {
-				ask := newAsk(fmt.Sprint("wait-", i), poolSize*memory*8/10)
-				ask.Wait = 1000 * time.Hour
-				co.Reduce(now, ask)
+				req := newRequest(fmt.Sprint("wait-", i), poolSize*memory*8/10)
+				req.Wait = 1000 * time.Hour
+				co.Reduce(now, req)
 			}
 			for b.Loop() {
-				co.Reduce(now, newAsk("r", 200_000))
+				co.Reduce(now, newRequest("r", 200_000))
 				co.Reduce(now, event.PermitReturned{Request: "r", Service: "lyric", FailureDomain: "a"})
 			}
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "permits/s")
@@ -320,10 +320,10 @@
 // BenchmarkBytes measures the encoded size of each message that the holder and the coordinator exchange for one permit.
 func BenchmarkBytes(b *testing.B) {
 	request := "entry-012.5f3k2a9c1d-3f"
-	ask := wire.PermitRequest(newAsk(request, 1_000_000))
+	req := wire.PermitRequest(newRequest(request, 1_000_000))
 	names := []string{"lyric-assist-0123", "lyric-assist-0124", "lyric-assist-0125"}
 	messages := map[string]wire.Message{
-		"Ask":    ask,
+		"Ask":    req,
 		"Grant":  wire.PermitGrant{From: "entry-012", Request: request, Service: "lyric", FailureDomain: "south-a", Granted: true, Upstreams: names, Lasts: permit.ReservationTTL},
 		"Return": wire.PermitReturn{Request: request, Service: "lyric", FailureDomain: "south-a"},
 		"Renew":  wire.PermitRenew{Holder: "entry-012", Incarnation: 1 << 50, Peer: "10.0.0.1:8081", Service: "lyric", FailureDomain: "south-a", Requests: []string{request}},
--- a/internal/route/cost.go
+++ b/internal/route/cost.go
@@ -17,14 +17,14 @@
 	lowerPriorityShare = 0.05
 	// fullBatchCost is the delay that a full batch adds, since decoding and prefill share the engine's steps.
 	fullBatchCost = 50 * time.Millisecond
-	// minPlainCallTime is the least time that a call of a plain service is assumed to take, and the estimate before any call
-	// was measured.
+	// minPlainCallTime is the minimum time that a call of a plain service is assumed to take, and the estimate before any
+	// call was measured.
 	minPlainCallTime = 10 * time.Millisecond
 )
 
 // cost estimates the cost of sending the request to the replica, in seconds. The replica holds the first cached tokens of
 // the prompt.
-func (rep *Replica) cost(now time.Time, want *PickCriteria, cached int64) float64 {
+func (rep *Replica) cost(now time.Time, pc *PickCriteria, cached int64) float64 {
 	var total float64
 	if rep.Upstream.FailureDomain != rep.pool.st.FailureDomain {
 		total += crossDomainCost.Seconds()
@@ -33,8 +33,8 @@
 	if rep.pool.service.Kind == decl.KindPlain {
 		return total + running*max(minPlainCallTime, rep.pool.AttemptTime).Seconds()*max(1, rep.Slowdown)
 	}
-	before, behind := rep.prefillAhead(now, want.Level)
-	work := float64(before) + lowerPriorityShare*float64(behind) + float64(max(0, want.Prompt-cached))
+	before, behind := rep.prefillAhead(now, pc.Level)
+	work := float64(before) + lowerPriorityShare*float64(behind) + float64(max(0, pc.Prompt-cached))
 	total += work / rep.PrefillRate
 	maxRunning := float64(rep.pool.service.MaxRunning)
 	total += fullBatchCost.Seconds() * running / maxRunning
@@ -42,7 +42,7 @@
 		total += rep.pool.AttemptTime.Seconds() * over / maxRunning
 	}
 	if memory := rep.memoryTokens(); memory > 0 {
-		over := rep.estimatedTokens(now) + want.Tokens() - memory
+		over := rep.estimatedTokens(now) + pc.Tokens() - memory
 		total += rep.pool.AttemptTime.Seconds() * float64(max(0, over)) / float64(memory)
 	}
 	return total
@@ -63,7 +63,7 @@
 // highest priority only need free memory, since the engine schedules them first. The others leave headroom for the classes
 // above theirs, and a queued request of low priority also needs the allowance of drawSendAllowance. While the engine has
 // prefill work queued ahead of them, they wait in this instance's queue, where its discipline orders them.
-func (rep *Replica) hasRoom(now time.Time, want *PickCriteria) bool {
+func (rep *Replica) hasRoom(now time.Time, pc *PickCriteria) bool {
 	if rep.pool.service.Kind == decl.KindPlain {
 		return true
 	}
@@ -71,20 +71,20 @@
 	if running == 0 {
 		return true
 	}
-	usable := 1 - min(headroomStep*float64(want.HigherClasses), maxHeadroom)
-	if memory := rep.memoryTokens(); memory > 0 && float64(rep.estimatedTokens(now)+want.Tokens()) > usable*float64(memory) {
+	usable := 1 - min(headroomStep*float64(pc.HigherClasses), maxHeadroom)
+	if memory := rep.memoryTokens(); memory > 0 && float64(rep.estimatedTokens(now)+pc.Tokens()) > usable*float64(memory) {
 		return false
 	}
-	if want.HigherClasses == 0 {
+	if pc.HigherClasses == 0 {
 		return true
 	}
-	if want.HigherClasses >= lowPriorityAbove && want.Queued && !rep.sendAllowed && rep.reportFresh(now) {
+	if pc.HigherClasses >= lowPriorityAbove && pc.Queued && !rep.sendAllowed && rep.reportFresh(now) {
 		return false
 	}
 	if float64(running+1) > max(1, usable*float64(rep.pool.service.MaxRunning)) {
 		return false
 	}
-	before, _ := rep.prefillAhead(now, want.Level)
+	before, _ := rep.prefillAhead(now, pc.Level)
 	return float64(before) <= maxBacklog.Seconds()*rep.PrefillRate
 }
 
--- a/internal/route/eject.go
+++ b/internal/route/eject.go
@@ -51,8 +51,9 @@
 }
 
 // recordSuccess counts a complete answer and ends a replica's probation after probesToRecover of them. Attempts that were
-// in flight at the ejection are not probes. They would end the probation of a replica that is still ejected, which then
-// would no longer count towards maxEjectedShare, and one replica after another could be ejected until none is left.
+// in flight at the ejection are not probes. If they counted, they would end the probation of a replica that is still
+// ejected, which then would no longer count towards maxEjectedShare, and one replica after another could be ejected until
+// none is left.
 func (st *State) recordSuccess(rep *Replica) {
 	if st.ejected(rep) {
 		return
--- a/internal/route/learn.go
+++ b/internal/route/learn.go
@@ -28,9 +28,9 @@
 		return
 	}
 	passed := at.firstTokenAt.Sub(at.sentAt) - fixedOverhead
-	seen := float64(at.workToFirstToken) / max(passed, time.Millisecond).Seconds()
+	observed := float64(at.workToFirstToken) / max(passed, time.Millisecond).Seconds()
 	declared := rep.pool.service.PrefillTokensPerSecond
-	if seen > rep.PrefillRate {
+	if observed > rep.PrefillRate {
 		rep.PrefillRate = min(rep.PrefillRate*rateIncrease, declared*maxRateFactor)
 	} else {
 		rep.PrefillRate = max(rep.PrefillRate*rateDecrease, declared/maxRateFactor)
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -21,38 +21,38 @@
 	maxExamined = 16
 )
 
-// Pick returns a replica with room for the request, or nil. Sail picks the replica with the lowest cost among a random
-// sample of the local failure domain, another one of the other domains, and the replicas that hold the longest known prefix
-// of the prompt. The baselines ignore cost, prefixes and failure domains.
-func (st *State) Pick(now time.Time, want *PickCriteria) *Replica {
+// Pick returns a replica with room for the request, or nil. LowestCost picks the replica with the lowest cost among a
+// random sample of the local failure domain, another one of the other domains, and the replicas that hold the longest
+// known prefix of the prompt. The baselines ignore cost, prefixes and failure domains.
+func (st *State) Pick(now time.Time, pc *PickCriteria) *Replica {
 	st.now = now
-	pl, ok := st.pools[want.Service]
+	pl, ok := st.pools[pc.Service]
 	if !ok || len(pl.local.reps)+len(pl.remote.reps) == 0 {
 		return nil
 	}
-	if _, own := st.Policy.(LowestCost); !own {
-		return st.pickBaseline(pl, want)
+	if _, lowestCost := st.Policy.(LowestCost); !lowestCost {
+		return st.pickBaseline(pl, pc)
 	}
-	known, depth := st.prefixes.longest(want.Prefixes)
+	known, depth := st.prefixes.longest(pc.Prefixes)
 	st.candidates = st.candidates[:0]
 	for i := range known {
-		if rep := known[i].rep; rep.pool == pl && rep.openIndex >= 0 && rep.eligible(now, want) {
+		if rep := known[i].rep; rep.pool == pl && rep.openIndex >= 0 && rep.eligible(now, pc) {
 			st.candidates = append(st.candidates, rep)
 		}
 	}
 	localCount, remoteCount := sampledReplicas, max(1, sampledReplicas-len(pl.local.reps))
-	if want.HigherClasses >= lowPriorityAbove {
+	if pc.HigherClasses >= lowPriorityAbove {
 		localCount, remoteCount = sampledForLowPriority, sampledForLowPriority
 	}
-	st.sample(&pl.local, want, localCount)
-	st.sample(&pl.remote, want, remoteCount)
+	st.sample(&pl.local, pc, localCount)
+	st.sample(&pl.remote, pc, remoteCount)
 	if len(st.candidates) == 0 {
-		return st.pickFallback(pl, want)
+		return st.pickFallback(pl, pc)
 	}
 	var best *Replica
 	var lowest float64
 	for _, rep := range st.candidates {
-		cost := rep.cost(now, want, cachedTokens(now, known, rep, depth))
+		cost := rep.cost(now, pc, cachedTokens(now, known, rep, depth))
 		if best == nil || cost < lowest {
 			best, lowest = rep, cost
 		}
@@ -61,7 +61,7 @@
 }
 
 // sample adds up to count eligible replicas of the set to the candidates. It examines the set from a random replica on.
-func (st *State) sample(set *openSet, want *PickCriteria, count int) {
+func (st *State) sample(set *openSet, pc *PickCriteria, count int) {
 	open := len(set.reps)
 	if open == 0 {
 		return
@@ -73,7 +73,7 @@
 	}
 	for i := range min(open, maxExamined) {
 		rep := set.reps[(first+i*step)%open]
-		if !rep.eligible(st.now, want) || slices.Contains(st.candidates, rep) {
+		if !rep.eligible(st.now, pc) || slices.Contains(st.candidates, rep) {
 			continue
 		}
 		st.candidates = append(st.candidates, rep)
@@ -85,11 +85,11 @@
 }
 
 // eligible reports whether an open replica may be sent the request.
-func (rep *Replica) eligible(now time.Time, want *PickCriteria) bool {
-	if rep.Probing && !want.Repeatable {
+func (rep *Replica) eligible(now time.Time, pc *PickCriteria) bool {
+	if rep.Probing && !pc.Repeatable {
 		return false
 	}
-	return !slices.Contains(want.Tried, rep.Upstream.Name) && rep.offersModel(want.Model) && rep.hasRoom(now, want)
+	return !slices.Contains(pc.Tried, rep.Upstream.Name) && rep.offersModel(pc.Model) && rep.hasRoom(now, pc)
 }
 
 // offersModel reports whether the replica has the model loaded. A replica that reported neither loaded nor loading models is
@@ -100,19 +100,19 @@
 
 // pickFallback picks a replica that failed this request before, or one on probation, when no other replica is open. It picks
 // the one whose failure of the request is the earliest, so that the request does not return to a replica that has just died.
-func (st *State) pickFallback(pl *pool, want *PickCriteria) *Replica {
+func (st *State) pickFallback(pl *pool, pc *PickCriteria) *Replica {
 	var best *Replica
 	for _, set := range []*openSet{&pl.local, &pl.remote} {
 		for _, rep := range set.reps {
-			if !rep.offersModel(want.Model) {
+			if !rep.offersModel(pc.Model) {
 				continue
 			}
-			fits := rep.hasRoom(st.now, want)
-			if !fits && !rep.Probing && lastTriedIndex(want, rep) < 0 {
+			fits := rep.hasRoom(st.now, pc)
+			if !fits && !rep.Probing && lastTriedIndex(pc, rep) < 0 {
 				// This replica is only full for the moment, so the request waits for it.
 				return nil
 			}
-			if fits && (best == nil || lastTriedIndex(want, rep) < lastTriedIndex(want, best)) {
+			if fits && (best == nil || lastTriedIndex(pc, rep) < lastTriedIndex(pc, best)) {
 				best = rep
 			}
 		}
@@ -121,9 +121,9 @@
 }
 
 // lastTriedIndex returns the last index of the replica in want.Tried, -1 if it is not there.
-func lastTriedIndex(want *PickCriteria, rep *Replica) int {
-	for i := len(want.Tried) - 1; i >= 0; i-- {
-		if want.Tried[i] == rep.Upstream.Name {
+func lastTriedIndex(pc *PickCriteria, rep *Replica) int {
+	for i := len(pc.Tried) - 1; i >= 0; i-- {
+		if pc.Tried[i] == rep.Upstream.Name {
 			return i
 		}
 	}
@@ -140,13 +140,13 @@
 	return 0
 }
 
-func (st *State) pickBaseline(pl *pool, want *PickCriteria) *Replica {
+func (st *State) pickBaseline(pl *pool, pc *PickCriteria) *Replica {
 	if _, ok := st.Policy.(RoundRobin); ok {
-		return st.pickRoundRobin(want)
+		return st.pickRoundRobin(pc)
 	}
 	st.candidates = append(append(st.candidates[:0], pl.local.reps...), pl.remote.reps...)
 	untried := slices.DeleteFunc(st.candidates, func(rep *Replica) bool {
-		return slices.Contains(want.Tried, rep.Upstream.Name)
+		return slices.Contains(pc.Tried, rep.Upstream.Name)
 	})
 	if len(untried) == 0 {
 		untried = append(append(st.candidates[:0], pl.local.reps...), pl.remote.reps...)
--- a/internal/route/policy.go
+++ b/internal/route/policy.go
@@ -40,15 +40,15 @@
 
 // pickRoundRobin returns the next open replica of the service after the one returned last. One that failed the request
 // before is returned only if no other is open.
-func (st *State) pickRoundRobin(want *PickCriteria) *Replica {
-	reps := st.Services[want.Service]
+func (st *State) pickRoundRobin(pc *PickCriteria) *Replica {
+	reps := st.Services[pc.Service]
 	var tried *Replica
 	for range reps {
-		st.roundRobinCounts[want.Service]++
-		rep := reps[st.roundRobinCounts[want.Service]%uint64(len(reps))]
+		st.roundRobinCounts[pc.Service]++
+		rep := reps[st.roundRobinCounts[pc.Service]%uint64(len(reps))]
 		switch {
 		case rep.openIndex < 0:
-		case slices.Contains(want.Tried, rep.Upstream.Name):
+		case slices.Contains(pc.Tried, rep.Upstream.Name):
 			tried = rep
 		default:
 			return rep
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -185,8 +185,8 @@
 	return pl.prefillTime(prompt) + pl.decodeTime(answer)/time.Duration(pl.service.MaxRunning)
 }
 
-// MinServeTime estimates the time from sending a request of the level to the end of its answer under the present load. It is 0 for
-// plain services, and before minSamples answers were observed.
+// MinServeTime estimates the time from sending a request of the level to the end of its answer under the present load. It
+// is 0 for plain services, and before minSamples answers were observed.
 func (st *State) MinServeTime(now time.Time, service string, prompt, answer int64, level int) time.Duration {
 	pl := st.poolOf(service)
 	if pl.service.Kind == decl.KindPlain || pl.samples < minSamples {
@@ -260,7 +260,7 @@
 	if rep.Probing {
 		return 1
 	}
-	if _, own := st.Policy.(LowestCost); !own {
+	if _, lowestCost := st.Policy.(LowestCost); !lowestCost {
 		return rep.pool.service.MaxRunning
 	}
 	return int64(rep.Window)
--- a/internal/route/prefix.go
+++ b/internal/route/prefix.go
@@ -126,11 +126,11 @@
 		return 0
 	}
 	if !hd.confirmed {
-		life := hintTTL
+		ttl := hintTTL
 		if cache.nextSequence > 0 {
-			life = confirmTimeout
+			ttl = confirmTimeout
 		}
-		if now.Sub(hd.at) < life {
+		if now.Sub(hd.at) < ttl {
 			return confidenceHint
 		}
 		return 0
@@ -169,16 +169,16 @@
 	}
 }
 
-// indexedBlocks returns the number of blocks of the indexed prefix at the place, counted from 0.
-func indexedBlocks(place int) int {
+// indexedBlocks returns the number of blocks of the indexed prefix with the index, counted from 0 for the shortest one.
+func indexedBlocks(index int) int {
 	const middleCount = denseBlocks + (middleBlocks-denseBlocks)/middleStep
 	switch {
-	case place < denseBlocks:
-		return place + 1
-	case place < middleCount:
-		return denseBlocks + (place-denseBlocks+1)*middleStep
+	case index < denseBlocks:
+		return index + 1
+	case index < middleCount:
+		return denseBlocks + (index-denseBlocks+1)*middleStep
 	default:
-		return middleBlocks + (place-middleCount+1)*coarseStep
+		return middleBlocks + (index-middleCount+1)*coarseStep
 	}
 }
 
@@ -186,8 +186,8 @@
 func (pi *prefixIndex) addHint(now time.Time, rep *Replica, prefixes []uint64) {
 	hd := holder{rep: rep, epoch: rep.cache.epoch, at: now}
 	count := indexedCount(len(prefixes))
-	for place := range count {
-		pi.add(prefixes[indexedBlocks(place)-1], hd)
+	for index := range count {
+		pi.add(prefixes[indexedBlocks(index)-1], hd)
 	}
 	if count > 0 && indexedBlocks(count-1) != len(prefixes) {
 		pi.add(prefixes[len(prefixes)-1], hd)
--- a/internal/route/replica.go
+++ b/internal/route/replica.go
@@ -16,11 +16,11 @@
 type Replica struct {
 	Upstream event.Upstream
 	// Unlisted reports whether the platform no longer lists the replica, or another one has its name. An unlisted replica is
-	// kept while attempts are in flight there, and for goneRetention, so that a stale list does not restore one that was
+	// kept while attempts are in flight there, and for unlistedRetention, so that a stale list does not restore one that was
 	// leaving.
 	Unlisted bool
-	// goneAt is when the platform was first seen not to list the replica.
-	goneAt time.Time
+	// unlistedAt is when the replica was first missing from the platform's list.
+	unlistedAt time.Time
 	// Running is the number of attempts that this instance has in flight at the replica.
 	Running int64
 	// Tokens is the number of prompt and answer tokens of the attempts that this instance has in flight at the replica.
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -11,22 +11,22 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// goneRetention is how long a replica that the platform no longer lists is kept, so that a stale list cannot restore one
+// unlistedRetention is how long a replica that the platform no longer lists is kept, so that a stale list cannot restore one
 // that was leaving.
-const goneRetention = 10 * time.Minute
+const unlistedRetention = 10 * time.Minute
 
 // State holds the routing state of all upstreams.
 type State struct {
 	// FailureDomain is the failure domain of this instance, which the comments call the local one.
 	FailureDomain string
-	// Replicas holds the listed upstreams by name, and the ones that are Gone until they are removed.
+	// Replicas holds the listed upstreams by name, and the unlisted ones until they are removed.
 	Replicas map[string]*Replica
 	// Services holds the listed replicas of each service in the order of the list.
 	Services map[string][]*Replica
 	// Policy is the algorithm that Pick uses.
 	Policy Policy
 
-	// now is the time passed to the latest call of List, Pick, Report, Sent, Ended or Tick.
+	// now is the time passed to the latest call of ApplyList, Pick, Report, RecordSent, RecordEnd or Tick.
 	now time.Time
 	// pools holds the pools by service name.
 	pools map[string]*pool
@@ -90,7 +90,7 @@
 }
 
 // Tokens returns the memory that the request needs, in tokens.
-func (want *PickCriteria) Tokens() int64 { return want.Prompt + want.Answer }
+func (pc *PickCriteria) Tokens() int64 { return pc.Prompt + pc.Answer }
 
 // ApplyList applies the platform's list of upstreams.
 func (st *State) ApplyList(now time.Time, listed event.UpstreamsListed) {
@@ -132,7 +132,7 @@
 	return rep
 }
 
-// retire marks a replica as gone, because the platform no longer lists it or another one has its name.
+// retire marks a replica as unlisted, because the platform no longer lists it or another one has its name.
 func (st *State) retire(rep *Replica) {
 	if rep == nil {
 		return
@@ -141,14 +141,14 @@
 	st.updateOpenSet(rep)
 }
 
-// MarkLeaving marks the replica as leaving after a peer has said so, ahead of the platform's list.
+// MarkLeaving marks the replica as leaving after a peer has reported it, before the platform's list shows it.
 func (st *State) MarkLeaving(rep *Replica) {
 	rep.Upstream.Leaving = true
 	st.updateOpenSet(rep)
 }
 
 // dropUnlisted retires the replicas that are not listed and reports whether there were any. It removes those that were
-// retired longer than goneRetention ago and have no attempts in flight.
+// retired longer than unlistedRetention ago and have no attempts in flight.
 func (st *State) dropUnlisted(listed event.UpstreamsListed) bool {
 	if len(st.Replicas) == len(listed.Upstreams) {
 		return false
@@ -164,10 +164,10 @@
 		}
 		if !rep.Unlisted {
 			changed = true
-			rep.goneAt = st.now
+			rep.unlistedAt = st.now
 			st.retire(rep)
 		}
-		if rep.Running == 0 && st.now.Sub(rep.goneAt) > goneRetention {
+		if rep.Running == 0 && st.now.Sub(rep.unlistedAt) > unlistedRetention {
 			delete(st.Replicas, name)
 		}
 	}
@@ -218,32 +218,32 @@
 }
 
 // RecordSent records an attempt that is sent to the replica.
-func (st *State) RecordSent(now time.Time, name string, want *PickCriteria) {
+func (st *State) RecordSent(now time.Time, name string, pc *PickCriteria) {
 	st.now = now
 	rep, ok := st.Replicas[name]
 	if !ok {
 		return
 	}
 	cached := int64(0)
-	if known, depth := st.prefixes.longest(want.Prefixes); depth > 0 {
+	if known, depth := st.prefixes.longest(pc.Prefixes); depth > 0 {
 		cached = cachedTokens(now, known, rep, depth)
 	}
-	prompt := max(0, want.Prompt-cached)
-	before, _ := rep.prefillAhead(now, want.Level)
+	prompt := max(0, pc.Prompt-cached)
+	before, _ := rep.prefillAhead(now, pc.Level)
 	rep.addAttempt(attempt{
-		id:               want.ID,
+		id:               pc.ID,
 		sentAt:           now,
-		tokens:           want.Tokens(),
-		answer:           want.Answer,
+		tokens:           pc.Tokens(),
+		answer:           pc.Answer,
 		prompt:           prompt,
-		level:            want.Level,
+		level:            pc.Level,
 		workToFirstToken: before + prompt,
 	})
-	if want.HigherClasses > 0 && rep.pool.instances() > 1 {
+	if pc.HigherClasses > 0 && rep.pool.instances() > 1 {
 		rep.sendAllowed = false
 	}
-	rep.pool.recordSent(want.Level, prompt)
-	st.prefixes.addHint(now, rep, want.Prefixes)
+	rep.pool.recordSent(pc.Level, prompt)
+	st.prefixes.addHint(now, rep, pc.Prefixes)
 	st.updateOpenSet(rep)
 }
 
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -22,7 +22,7 @@
 	return &decl.Config{Version: 1, Services: map[string]decl.Service{"lyric": svc}}
 }
 
-func want(id int, prompt int64) *route.PickCriteria {
+func criteria(id int, prompt int64) *route.PickCriteria {
 	return &route.PickCriteria{ID: event.RequestID(id), Service: "lyric", Prompt: prompt, Repeatable: true, Level: 4}
 }
 
@@ -47,7 +47,7 @@
 			for _, near := range []string{"lyric-0", "lyric-1"} {
 				st.Report(start, report(near, start, event.Load{QueuedTokens: tc.queued}))
 			}
-			rep := st.Pick(start, want(1, 1000))
+			rep := st.Pick(start, criteria(1, 1000))
 			assert.Equal(t, rep.Upstream.FailureDomain != "a", tc.far)
 		})
 	}
@@ -59,12 +59,12 @@
 	// that was idle a moment ago.
 	st := newState(route.LowestCost{})
 	st.Configure(config(decl.Service{}))
-	st.RecordSent(at(0.1), "lyric-0", want(1, 60_000))
+	st.RecordSent(at(0.1), "lyric-0", criteria(1, 60_000))
 	for _, near := range []string{"lyric-0", "lyric-1"} {
 		st.Report(at(0.2), report(near, start, event.Load{}))
 	}
 	for id := range 10 {
-		assert.Equal(t, st.Pick(at(0.2), want(10+id, 1000)).Upstream.Name, "lyric-1")
+		assert.Equal(t, st.Pick(at(0.2), criteria(10+id, 1000)).Upstream.Name, "lyric-1")
 	}
 }
 
@@ -73,18 +73,18 @@
 	// to them, it would avoid the engine for twice as long.
 	st := newState(route.LowestCost{})
 	st.Configure(config(decl.Service{}))
-	st.RecordSent(start, "lyric-0", want(1, 60_000))
-	st.RecordSent(start, "lyric-1", want(2, 70_000))
+	st.RecordSent(start, "lyric-0", criteria(1, 60_000))
+	st.RecordSent(start, "lyric-1", criteria(2, 70_000))
 	st.Report(at(0.5), report("lyric-0", at(0.2), event.Load{QueuedTokens: 60_000, Running: 1}))
 	st.Report(at(0.5), report("lyric-1", at(0.2), event.Load{QueuedTokens: 70_000, Running: 1}))
-	low := want(3, 1000)
+	low := criteria(3, 1000)
 	low.Level = 0
 	near := st.Pick(at(0.5), low)
 	assert.Assert(t, near.Upstream.FailureDomain == "b", "the replicas of the other failure domain are idle")
 	st.RecordFirstToken(at(0.6), "lyric-0", 1)
 	st.Report(at(0.7), report("lyric-0", at(0.65), event.Load{Running: 1}))
 	for id := range 10 {
-		assert.Equal(t, st.Pick(at(0.7), want(10+id, 1000)).Upstream.Name, "lyric-0")
+		assert.Equal(t, st.Pick(at(0.7), criteria(10+id, 1000)).Upstream.Name, "lyric-0")
 	}
 }
 
@@ -107,9 +107,9 @@
 			st.CacheChanged(start, event.CacheChanged{Upstream: "lyric-1", First: 1, Last: 1, Added: prefixes})
 			st.Report(start, report("lyric-1", start, event.Load{QueuedTokens: tc.busy}))
 			for id := range 10 {
-				wanted := want(id, 16_000)
-				wanted.Prefixes = prefixes
-				assert.Equal(t, st.Pick(start, wanted).Upstream.Name == "lyric-1", tc.near)
+				pc := criteria(id, 16_000)
+				pc.Prefixes = prefixes
+				assert.Equal(t, st.Pick(start, pc).Upstream.Name == "lyric-1", tc.near)
 			}
 		})
 	}
@@ -141,9 +141,9 @@
 				ev.Upstream = "lyric-3"
 				st.CacheChanged(at(1), ev)
 			}
-			wanted := want(1, 4096)
-			wanted.Prefixes = prefixes
-			rep := st.Pick(start.Add(time.Second+tc.after), wanted)
+			pc := criteria(1, 4096)
+			pc.Prefixes = prefixes
+			rep := st.Pick(start.Add(time.Second+tc.after), pc)
 			assert.Equal(t, rep.Upstream.Name == "lyric-3", tc.drawn)
 		})
 	}
@@ -169,9 +169,9 @@
 			for i := range 4 {
 				st.Report(start, report(fmt.Sprintf("lyric-%d", i), start, tc.load))
 			}
-			wanted := want(1, 60_000)
-			wanted.HigherClasses = tc.above
-			assert.Equal(t, st.Pick(start, wanted) != nil, tc.placed)
+			pc := criteria(1, 60_000)
+			pc.HigherClasses = tc.above
+			assert.Equal(t, st.Pick(start, pc) != nil, tc.placed)
 		})
 	}
 }
@@ -185,13 +185,13 @@
 	rep := st.Replicas["lyric-0"]
 	assert.Equal(t, rep.Window, 8.0)
 	for id := range 8 {
-		st.RecordSent(start, "lyric-0", want(id, 1000))
+		st.RecordSent(start, "lyric-0", criteria(id, 1000))
 	}
 	for id := range 4 {
 		st.RecordEnd(start, "lyric-0", event.RequestID(id), 0, event.ResultNotRun)
 	}
 	assert.Assert(t, rep.Window < 6 && rep.Window > 5, "one burst of refusals counts once: %g", rep.Window)
-	st.RecordSent(start, "lyric-0", want(20, 1000))
+	st.RecordSent(start, "lyric-0", criteria(20, 1000))
 	st.Report(at(1), report("lyric-0", at(1), event.Load{Running: 8}))
 	assert.Assert(t, rep.Window > 6, "%g", rep.Window)
 }
@@ -203,7 +203,7 @@
 	st := newState(route.LowestCost{})
 	st.Configure(config(decl.Service{}))
 	fail := func(when time.Time, name string, id int) bool {
-		st.RecordSent(when, name, want(id, 1000))
+		st.RecordSent(when, name, criteria(id, 1000))
 		return st.RecordEnd(when, name, event.RequestID(id), 0, event.ResultBroken)
 	}
 	assert.Assert(t, !fail(start, "lyric-0", 1))
@@ -213,14 +213,14 @@
 		assert.Assert(t, !fail(start, fmt.Sprintf("lyric-%d", 2+id%2), 10+id), "more than a third of the pool")
 	}
 	for id := range 20 {
-		assert.Assert(t, st.Pick(start, want(id, 1000)).Upstream.Name != "lyric-0")
+		assert.Assert(t, st.Pick(start, criteria(id, 1000)).Upstream.Name != "lyric-0")
 	}
 	st.Tick(at(3))
 	rep := st.Replicas["lyric-0"]
 	for probe := range 3 {
-		st.RecordSent(at(3), "lyric-0", want(100+probe, 1000))
+		st.RecordSent(at(3), "lyric-0", criteria(100+probe, 1000))
 		for id := range 20 {
-			assert.Assert(t, st.Pick(at(3), want(id, 1000)).Upstream.Name != "lyric-0", "one probe at a time")
+			assert.Assert(t, st.Pick(at(3), criteria(id, 1000)).Upstream.Name != "lyric-0", "one probe at a time")
 		}
 		st.RecordEnd(at(3.1), "lyric-0", event.RequestID(100+probe), 10, event.ResultDone)
 	}
@@ -237,7 +237,7 @@
 	for _, name := range []string{"lyric-0", "lyric-1", "lyric-2", "lyric-3"} {
 		first := id
 		for range 20 {
-			st.RecordSent(start, name, want(id, 1000))
+			st.RecordSent(start, name, criteria(id, 1000))
 			id++
 		}
 		for i := range 20 {
@@ -248,7 +248,7 @@
 			st.RecordEnd(start, name, event.RequestID(first+i), 5, result)
 		}
 	}
-	assert.Assert(t, st.Pick(start, want(id, 1000)) != nil)
+	assert.Assert(t, st.Pick(start, criteria(id, 1000)) != nil)
 	st.Tick(at(3))
 	out := 0
 	for _, rep := range st.Replicas {
@@ -270,7 +270,7 @@
 		if name == "lyric-2" {
 			took = 2
 		}
-		st.RecordSent(start, name, want(id, 2000))
+		st.RecordSent(start, name, criteria(id, 2000))
 		st.RecordFirstToken(at(took), name, event.RequestID(id))
 		st.RecordEnd(at(took+0.1), name, event.RequestID(id), 5, event.ResultDone)
 	}
@@ -288,11 +288,11 @@
 	for _, listed := range [][]event.Upstream{{up, other}, {leaving, other}, {other}, {up, other}} {
 		st.ApplyList(start, event.UpstreamsListed{Upstreams: listed})
 	}
-	assert.Assert(t, st.Pick(start, want(1, 1000)) == nil)
+	assert.Assert(t, st.Pick(start, criteria(1, 1000)) == nil)
 	assert.Assert(t, !st.Serves("lyric"))
 	up.Address = "127.0.0.1:3"
 	st.ApplyList(start, event.UpstreamsListed{Upstreams: []event.Upstream{up, other}})
-	assert.Equal(t, st.Pick(start, want(1, 1000)).Upstream.Address, "127.0.0.1:3", "another process of the same name")
+	assert.Equal(t, st.Pick(start, criteria(1, 1000)).Upstream.Address, "127.0.0.1:3", "another process of the same name")
 }
 
 // TestCountsAreConserved checks, under any order of events, that attempts that have ended leave no counts behind on any
@@ -317,14 +317,14 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"send": func(t *rapid.T) {
 				next++
-				wanted := want(next, rapid.Int64Range(0, 200_000).Draw(t, "prompt"))
-				wanted.HigherClasses = rapid.IntRange(0, 4).Draw(t, "above")
-				wanted.Level = 4 - wanted.HigherClasses
-				wanted.Prefixes = []uint64{uint64(next % 3), uint64(next%3 + 10)}
-				if rep := st.Pick(now, wanted); rep != nil {
+				pc := criteria(next, rapid.Int64Range(0, 200_000).Draw(t, "prompt"))
+				pc.HigherClasses = rapid.IntRange(0, 4).Draw(t, "above")
+				pc.Level = 4 - pc.HigherClasses
+				pc.Prefixes = []uint64{uint64(next % 3), uint64(next%3 + 10)}
+				if rep := st.Pick(now, pc); rep != nil {
 					assert.Assert(t, !left[rep.Upstream.Name])
 					assert.Assert(t, float64(rep.Running) < rep.Window)
-					st.RecordSent(now, rep.Upstream.Name, wanted)
+					st.RecordSent(now, rep.Upstream.Name, pc)
 					running[next] = rep.Upstream.Name
 				}
 			},
@@ -378,7 +378,7 @@
 			assert.Equal(t, rep.Tokens, int64(0))
 		}
 		st.Tick(now.Add(2 * time.Minute))
-		assert.Assert(t, st.Pick(now.Add(2*time.Minute), want(next+1, 100)) != nil, "two replicas never left")
+		assert.Assert(t, st.Pick(now.Add(2*time.Minute), criteria(next+1, 100)) != nil, "two replicas never left")
 	})
 }
 
@@ -387,9 +387,9 @@
 	// the retry budget there. It goes to the replica whose failure is the earliest.
 	st := newState(route.LowestCost{})
 	st.Configure(config(decl.Service{}))
-	wanted := want(1, 1000)
-	wanted.Tried = []string{"lyric-1", "lyric-0", "lyric-3", "lyric-2", "lyric-0"}
-	assert.Equal(t, st.Pick(start, wanted).Upstream.Name, "lyric-1")
+	pc := criteria(1, 1000)
+	pc.Tried = []string{"lyric-1", "lyric-0", "lyric-3", "lyric-2", "lyric-0"}
+	assert.Equal(t, st.Pick(start, pc).Upstream.Name, "lyric-1")
 }
 
 func TestLostFailureDomainIsEjectedCompletely(t *testing.T) {
@@ -400,10 +400,10 @@
 	st.Configure(config(decl.Service{}))
 	for id := range 12 {
 		name := fmt.Sprintf("lyric-%d", id%4)
-		st.RecordSent(start, name, want(id, 1000))
+		st.RecordSent(start, name, criteria(id, 1000))
 		st.RecordEnd(start, name, event.RequestID(id), 0, event.ResultSilent)
 	}
 	for id := range 20 {
-		assert.Equal(t, st.Pick(start, want(20+id, 1000)).Upstream.FailureDomain, "b")
+		assert.Equal(t, st.Pick(start, criteria(20+id, 1000)).Upstream.FailureDomain, "b")
 	}
 }
