--- a/internal/conf/follow.go
+++ b/internal/conf/follow.go
@@ -317,25 +317,25 @@
 	if fl.Transport == nil {
 		return
 	}
-	news := wire.ConfigAnnouncement{Version: version, Teller: fl.self.Peer}
+	announcement := wire.ConfigAnnouncement{Version: version, Announcer: fl.self.Peer}
 	for _, inst := range fl.samplePeers(localFanout, true) {
-		fl.Transport.Tell(inst.Peer, news)
+		fl.Transport.Send(inst.Peer, announcement)
 	}
 	for _, inst := range fl.samplePeers(remoteFanout, false) {
-		fl.Transport.Tell(inst.Peer, news)
+		fl.Transport.Send(inst.Peer, announcement)
 	}
 }
 
 // samplePeers returns up to count random peers, either of the own failure domain or of the others.
 func (fl *Follower) samplePeers(count int, sameDomain bool) []event.Instance {
-	var from []event.Instance
+	var candidates []event.Instance
 	for _, inst := range *fl.members.Load() {
 		if inst.Name != fl.self.Name && inst.Peer != "" && (inst.FailureDomain == fl.self.FailureDomain) == sameDomain {
-			from = append(from, inst)
+			candidates = append(candidates, inst)
 		}
 	}
-	rand.Shuffle(len(from), func(i, j int) { from[i], from[j] = from[j], from[i] })
-	return from[:min(count, len(from))]
+	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	return candidates[:min(count, len(candidates))]
 }
 
 // Handle answers a peer's message about the configuration. It returns nil for any other message.
@@ -391,18 +391,18 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case news := <-fl.announced:
-			fl.fetch(ctx, news)
+		case announcement := <-fl.announced:
+			fl.fetch(ctx, announcement)
 		}
 	}
 }
 
 // fetch queries the announcing peer until the announced version is in force or the peer has nothing more, so that a
 // wrong announcement does not keep it in a loop.
-func (fl *Follower) fetch(ctx context.Context, news wire.ConfigAnnouncement) {
-	for news.Version > fl.Version() {
+func (fl *Follower) fetch(ctx context.Context, announcement wire.ConfigAnnouncement) {
+	for announcement.Version > fl.Version() {
 		before := fl.Version()
-		if !fl.queryPeer(ctx, news.Teller) || fl.Version() == before {
+		if !fl.queryPeer(ctx, announcement.Announcer) || fl.Version() == before {
 			return
 		}
 	}
@@ -413,9 +413,9 @@
 	if fl.Transport == nil {
 		return false
 	}
-	asked := slices.Concat(fl.samplePeers(2, true), fl.samplePeers(1, false))
-	rand.Shuffle(len(asked), func(i, j int) { asked[i], asked[j] = asked[j], asked[i] })
-	for _, inst := range asked {
+	candidates := slices.Concat(fl.samplePeers(2, true), fl.samplePeers(1, false))
+	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	for _, inst := range candidates {
 		before := fl.Version()
 		if fl.queryPeer(ctx, inst.Peer) || fl.Version() > before {
 			return true
@@ -428,15 +428,15 @@
 // announcements are lost, every instance is thus one query away from a patch, however large the fleet is. It reports
 // whether the watcher answered.
 func (fl *Follower) queryWatcher(ctx context.Context) bool {
-	var near []event.Instance
+	var local []event.Instance
 	for _, inst := range *fl.members.Load() {
 		if inst.FailureDomain == fl.self.FailureDomain && inst.Name != fl.self.Name {
-			near = append(near, inst)
+			local = append(local, inst)
 		}
 	}
-	slices.SortFunc(near, func(a, b event.Instance) int { return cmp.Compare(rank(b), rank(a)) })
-	near = near[:min(WatchersPerDomain, len(near))]
-	return len(near) > 0 && fl.queryPeer(ctx, near[rand.IntN(len(near))].Peer)
+	slices.SortFunc(local, func(a, b event.Instance) int { return cmp.Compare(rank(b), rank(a)) })
+	local = local[:min(WatchersPerDomain, len(local))]
+	return len(local) > 0 && fl.queryPeer(ctx, local[rand.IntN(len(local))].Peer)
 }
 
 // queryPeer requests everything newer than the version in force from the peer and applies it. It reports whether the
@@ -444,7 +444,7 @@
 func (fl *Follower) queryPeer(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	answer, err := fl.Transport.Ask(ctx, address, wire.ConfigRequest{After: fl.Version()})
+	answer, err := fl.Transport.Request(ctx, address, wire.ConfigRequest{After: fl.Version()})
 	if err != nil {
 		return false
 	}
--- a/internal/conf/follow_test.go
+++ b/internal/conf/follow_test.go
@@ -23,14 +23,14 @@
 type network struct {
 	mu        sync.Mutex
 	followers map[string]*conf.Follower
-	// dropTells makes Tell lose every message.
-	dropTells atomic.Bool
-	// unresponsive makes Ask wait until its context ends.
+	// dropSends makes Send lose every message.
+	dropSends atomic.Bool
+	// unresponsive makes Request wait until its context ends.
 	unresponsive atomic.Bool
 	messages     atomic.Int64
 }
 
-func (nt *network) Ask(ctx context.Context, address string, msg wire.Message) (wire.Message, error) {
+func (nt *network) Request(ctx context.Context, address string, msg wire.Message) (wire.Message, error) {
 	if nt.unresponsive.Load() {
 		<-ctx.Done()
 		return nil, peers.Unreachable.New("no answer from %s", address)
@@ -45,11 +45,11 @@
 	return fl.Handle(msg), nil
 }
 
-func (nt *network) Tell(address string, msg wire.Message) {
-	if nt.dropTells.Load() {
+func (nt *network) Send(address string, msg wire.Message) {
+	if nt.dropSends.Load() {
 		return
 	}
-	_, _ = nt.Ask(context.Background(), address, msg)
+	_, _ = nt.Request(context.Background(), address, msg)
 }
 
 // fleet is a set of followers over one key-value service.
@@ -123,7 +123,7 @@
 		assert.Assert(t, ft.countAtLeast(2) >= 45, "%d instances have the patch", ft.countAtLeast(2))
 		time.Sleep(10 * time.Second)
 		assert.Assert(t, ft.allAtLeast(2))
-		ft.net.dropTells.Store(true)
+		ft.net.dropSends.Store(true)
 		_, err = lg.Submit(t.Context(), patch("third", 2))
 		assert.NilError(t, err)
 		time.Sleep(11 * time.Second)
@@ -186,7 +186,7 @@
 			ft.members = append(ft.members, event.Instance{Name: fmt.Sprintf("leaving-%d", i), FailureDomain: "a", Peer: "gone"})
 		}
 		ft.net.unresponsive.Store(true)
-		ft.net.dropTells.Store(true)
+		ft.net.dropSends.Store(true)
 		late := ft.start("entry-3", "a")
 		time.Sleep(4 * time.Second)
 		assert.Assert(t, !late.IsWatcher())
--- a/internal/conf/log.go
+++ b/internal/conf/log.go
@@ -18,7 +18,7 @@
 
 const (
 	// listLimit is the page size of reads of the log. It keeps a page of the longest patches within what the store's
-	// client reads from one answer.
+	// client reads from one response.
 	listLimit = 32
 	// submitAttempts is how often a write with an unknown outcome is tried before the submitter is asked to resend the
 	// patch.
@@ -149,7 +149,7 @@
 }
 
 // Submit appends the patch and returns the version that it became. If the patch was applied before under the same id,
-// it returns the version it got then, so that a submitter that lost the answer may resend it. A Stale error names the
+// it returns the version it got then, so that a submitter that lost the response may resend it. A Stale error names the
 // newest version and what changed since the patch's base.
 func (lg *Log) Submit(ctx context.Context, patch Patch) (int64, error) {
 	raw, err := patch.encode()
--- a/internal/conf/log_test.go
+++ b/internal/conf/log_test.go
@@ -75,7 +75,7 @@
 
 func TestConcurrentSubmitsHaveOneWinner(t *testing.T) {
 	// Guards against two patches that both become the same version. Ten operators patch the same version at once, each
-	// through an instance of its own, and some answers of the store are lost. Exactly one patch must be accepted and
+	// through an instance of its own, and some responses of the store are lost. Exactly one patch must be accepted and
 	// all others rejected as stale.
 	synctest.Test(t, func(t *testing.T) {
 		_, kv := newLog(t, 1)
@@ -102,7 +102,7 @@
 }
 
 func TestResubmittedPatchIsAppliedOnce(t *testing.T) {
-	// Guards against applying a patch twice. The answer to a patch is lost and its operator resends it: at once, after
+	// Guards against applying a patch twice. The response to a patch is lost and its operator resends it: at once, after
 	// other patches, or after the log was trimmed. It must be applied once and return its first version.
 	cases := map[string]struct {
 		later   int64
--- a/internal/conf/prop_test.go
+++ b/internal/conf/prop_test.go
@@ -88,20 +88,20 @@
 	if err != nil || int64(len(changes)) != cfg.Version {
 		return fmt.Sprintf("%d changes but version %d: %v", len(changes), cfg.Version, err)
 	}
-	landed := map[string]int64{}
+	applied := map[string]int64{}
 	for _, sm := range changes {
-		if landed[sm.ID] != 0 {
+		if applied[sm.ID] != 0 {
 			return sm.ID + " was applied twice"
 		}
-		landed[sm.ID] = sm.Version
+		applied[sm.ID] = sm.Version
 	}
 	for id, version := range rs.accepted {
-		if _, ok := cfg.Organisations[id]; !ok || landed[id] != version {
-			return fmt.Sprintf("%s was accepted as version %d but applied as %d", id, version, landed[id])
+		if _, ok := cfg.Organisations[id]; !ok || applied[id] != version {
+			return fmt.Sprintf("%s was accepted as version %d but applied as %d", id, version, applied[id])
 		}
 	}
 	for id := range rs.stale {
-		if _, accepted := rs.accepted[id]; !accepted && landed[id] != 0 {
+		if _, accepted := rs.accepted[id]; !accepted && applied[id] != 0 {
 			return id + " was rejected as stale but is in force"
 		}
 	}
--- a/internal/conf/snap.go
+++ b/internal/conf/snap.go
@@ -27,8 +27,8 @@
 // snapshot is one version of the configuration with what a submitter needs to know about the patches before it.
 type snapshot struct {
 	Config *decl.Config
-	// Landed summarises the patches up to this version, oldest first, at most maxSummaries.
-	Landed []PatchSummary
+	// Summaries holds the summaries of the newest patches up to this version, oldest first, at most maxSummaries.
+	Summaries []PatchSummary `json:"Landed"`
 }
 
 func (sn *snapshot) version() int64 {
@@ -49,18 +49,18 @@
 	if err != nil {
 		return nil, err
 	}
-	landed := append(sn.Landed[:len(sn.Landed):len(sn.Landed)], patch.summary(cfg.Version))
-	if len(landed) > maxSummaries {
-		landed = landed[len(landed)-maxSummaries:]
+	summaries := append(sn.Summaries[:len(sn.Summaries):len(sn.Summaries)], patch.summary(cfg.Version))
+	if len(summaries) > maxSummaries {
+		summaries = summaries[len(summaries)-maxSummaries:]
 	}
-	return &snapshot{Config: cfg, Landed: landed}, nil
+	return &snapshot{Config: cfg, Summaries: summaries}, nil
 }
 
 // findByID returns the summary of the patch that was applied under the id.
 func (sn *snapshot) findByID(id string) (PatchSummary, bool) {
-	for i := len(sn.Landed) - 1; i >= 0; i-- {
-		if sn.Landed[i].ID == id {
-			return sn.Landed[i], true
+	for i := len(sn.Summaries) - 1; i >= 0; i-- {
+		if sn.Summaries[i].ID == id {
+			return sn.Summaries[i], true
 		}
 	}
 	return PatchSummary{}, false
@@ -68,9 +68,9 @@
 
 // since returns the summaries of the patches after the version.
 func (sn *snapshot) since(version int64) []PatchSummary {
-	for i, sm := range sn.Landed {
+	for i, sm := range sn.Summaries {
 		if sm.Version > version {
-			return sn.Landed[i:]
+			return sn.Summaries[i:]
 		}
 	}
 	return nil
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -222,11 +222,11 @@
 	return nil
 }
 
-// exchange sends a call to a plain service and forwards its answer.
+// exchange sends a call to a plain service and forwards its response.
 func (in *Instance) exchange(ctx context.Context, cl *call, eff effect.Send, cancel context.CancelCauseFunc, ended *event.AttemptEnded) error {
-	// How long a call takes depends on the plain service, so its answer may begin as late as the deadline. A connection
-	// that is reused from an earlier call may have gone silent, so there the answer must begin within eff.Silence; the
-	// retry uses a new connection.
+	// How long a call takes depends on the plain service, so its response may begin as late as the deadline. A connection
+	// that is reused from an earlier call may have gone silent, so there the response must begin within
+	// eff.ProgressTimeout; the retry uses a new connection.
 	wd := startWatchdog(cancel, time.Until(eff.Deadline), eff.ProgressTimeout)
 	defer wd.stop()
 	up := cl.upstreamCall(eff)
@@ -253,7 +253,7 @@
 	return cl.copyPlain(resp.Body, wd)
 }
 
-// startPlain sends the status and header of a plain service's answer to the caller.
+// startPlain sends the status and header of a plain service's response to the caller.
 func (cl *call) startPlain(resp *http.Response) {
 	header := cl.w.Header()
 	for name, values := range forwardedHeader(resp.Header) {
@@ -268,10 +268,10 @@
 	cl.w.WriteHeader(resp.StatusCode)
 }
 
-// plainBufferSize is the size in bytes of the buffer through which a plain service's answer is forwarded.
+// plainBufferSize is the size in bytes of the buffer through which a plain service's response is forwarded.
 const plainBufferSize = 32 << 10
 
-// copyPlain forwards the body of a plain service's answer and records it for replays. The watchdog is suspended during
+// copyPlain forwards the body of a plain service's response and records it for replays. The watchdog is suspended during
 // writes to the caller, because a caller that reads slowly or disconnects is not a fault of the upstream.
 func (cl *call) copyPlain(from io.Reader, wd *watchdog) error {
 	buf := make([]byte, plainBufferSize)
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -22,7 +22,7 @@
 // call is one caller's request and the state of its answer.
 type call struct {
 	id event.RequestID
-	// name is the id that upstreams and claims see, see requestName.
+	// name is the id under which upstreams and claims know the request, see requestName.
 	name     string
 	w        http.ResponseWriter
 	req      *http.Request
@@ -50,7 +50,7 @@
 	lastAt time.Time
 	// answer assembles the answer for a caller that did not ask for a stream.
 	answer answer
-	// outcome records a plain service's answer for replays under the same idempotency key.
+	// outcome records a plain service's response for replays under the same idempotency key.
 	outcome once.Recorder
 
 	// mu guards attempt and cancel against abort.
@@ -89,7 +89,7 @@
 	in.handleEffects(cl)
 }
 
-// requestName returns the request's name that upstreams and claims see. It is unique over all runs of all instances.
+// requestName returns the id under which upstreams and claims know the request. It is unique over all runs of all instances.
 func (in *Instance) requestName(id event.RequestID) string {
 	return in.run + "-" + strconv.FormatUint(uint64(id), 36)
 }
@@ -183,7 +183,7 @@
 		return
 	}
 	if cl.body == nil {
-		// Part of a plain service's answer was sent. Only an aborted connection shows the caller that it is incomplete.
+		// Part of a plain service's response was sent. Only an aborted connection shows the caller that it is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = cl.w.Write([]byte("event: error\ndata: "))
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -23,18 +23,18 @@
 // apiError is an error in the format that clients of the completions API expect.
 type apiError struct {
 	Status int `json:"-"`
-	// Ran is sent in the header HeaderRan.
-	Ran effect.RunState `json:"-"`
-	// After is sent in the header Retry-After, unless it is 0.
-	After   time.Duration `json:"-"`
-	Message string        `json:"message"`
-	Type    string        `json:"type"`
-	Code    string        `json:"code"`
+	// RunState reports whether the request ran. It is sent in the header HeaderRan.
+	RunState effect.RunState `json:"-"`
+	// RetryAfter is sent in the header Retry-After, unless it is 0.
+	RetryAfter time.Duration `json:"-"`
+	Message    string        `json:"message"`
+	Type       string        `json:"type"`
+	Code       string        `json:"code"`
 }
 
 // badRequest returns the error for a request that is refused before it reaches the reducer.
 func badRequest(status int, code, message string) *apiError {
-	return &apiError{Status: status, Ran: effect.NotRun, Message: message, Type: "invalid_request_error", Code: code}
+	return &apiError{Status: status, RunState: effect.NotRun, Message: message, Type: "invalid_request_error", Code: code}
 }
 
 // statuses maps the reason of a refusal to its HTTP status.
@@ -69,12 +69,12 @@
 		kind = "invalid_request_error"
 	}
 	return &apiError{
-		Status:  status,
-		Ran:     refusal.Ran,
-		After:   refusal.RetryAfter,
-		Message: string(refusal.Reason) + ": " + refusal.Remedy,
-		Type:    kind,
-		Code:    string(refusal.Reason),
+		Status:     status,
+		RunState:   refusal.Ran,
+		RetryAfter: refusal.RetryAfter,
+		Message:    string(refusal.Reason) + ": " + refusal.Remedy,
+		Type:       kind,
+		Code:       string(refusal.Reason),
 	}
 }
 
@@ -93,9 +93,9 @@
 func (ae *apiError) write(w http.ResponseWriter) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
-	header.Set(HeaderRan, string(ae.Ran))
-	if ae.After > 0 {
-		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(ae.After.Seconds()))))
+	header.Set(HeaderRan, string(ae.RunState))
+	if ae.RetryAfter > 0 {
+		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(ae.RetryAfter.Seconds()))))
 	}
 	if ae.Status == http.StatusUnauthorized {
 		header.Set("WWW-Authenticate", "Bearer")
--- a/internal/entry/instance.go
+++ b/internal/entry/instance.go
@@ -81,7 +81,7 @@
 	settling sync.WaitGroup
 	// heartbeats holds the addresses of engines that are known to send heartbeats.
 	heartbeats sync.Map
-	// readers holds the functions that stop the readers of each watched engine's load reports and cache events, by the
+	// readers holds the functions that stop the readers of each polled engine's load reports and cache events, by the
 	// engine's name and address.
 	readers map[string]context.CancelFunc
 }
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	// The output tells whoever started the process with port 0 which addresses were chosen.
+	// If the configured ports are 0, the starter of the process reads the chosen addresses from this output.
 	fmt.Println(strings.TrimSpace(listener.Addr().String() + " " + peer))
 	return in.Serve(ctx, listener)
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -67,7 +67,7 @@
 		in.pending.Go(func() { in.handlePeerMessage(context.Background(), in.opts.Name, msg) })
 		return
 	}
-	in.peers.Tell(address, msg)
+	in.peers.Send(address, msg)
 }
 
 // broadcast sends a message to all listed peers.
@@ -76,7 +76,7 @@
 		return
 	}
 	for _, address := range *in.listedPeers.Load() {
-		in.peers.Tell(address, msg)
+		in.peers.Send(address, msg)
 	}
 }
 
--- a/internal/entry/perform.go
+++ b/internal/entry/perform.go
@@ -37,11 +37,11 @@
 	case effect.CloseIdle:
 		in.upstream.CloseIdle(eff.Address)
 	case effect.CountAndLog:
-		in.recordNote(eff)
+		in.countAndLog(eff)
 	}
 }
 
-func (in *Instance) recordNote(eff effect.CountAndLog) {
+func (in *Instance) countAndLog(eff effect.CountAndLog) {
 	metrics.GetOrRegisterCounter(eff.Counter, in.Meter.Registry).Inc(1)
 	if eff.LogMessage != "" {
 		in.log.Warn().Str("Subject", eff.Subject).Msg(eff.LogMessage)
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -35,7 +35,7 @@
 	}
 	for _, address := range in.quarantineRequesters.recent() {
 		if !slices.Contains(*in.listedPeers.Load(), address) {
-			in.peers.Tell(address, msg)
+			in.peers.Send(address, msg)
 		}
 	}
 }
@@ -75,11 +75,11 @@
 }
 
 func quarantineMessage(qr event.QuarantineReported) wire.Quarantine {
-	return wire.Quarantine{Digest: qr.Digest, Deaths: qr.Deaths, Lasts: time.Until(qr.Until)}
+	return wire.Quarantine{Digest: qr.Digest, Deaths: qr.Deaths, TTL: time.Until(qr.Until)}
 }
 
 func (in *Instance) applyQuarantine(msg wire.Quarantine) {
-	in.loop.Submit(event.QuarantineReported{Digest: msg.Digest, Deaths: msg.Deaths, Until: time.Now().Add(msg.Lasts)})
+	in.loop.Submit(event.QuarantineReported{Digest: msg.Digest, Deaths: msg.Deaths, Until: time.Now().Add(msg.TTL)})
 }
 
 // quarantineSnapshot returns all content under suspicion or quarantine, as the answer to a peer that has just started.
@@ -118,7 +118,7 @@
 func (in *Instance) requestQuarantine(address string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), quarantineTimeout)
 	defer cancel()
-	answer, err := in.peers.Ask(ctx, address, wire.QuarantineRequest{From: in.peers.Address()})
+	answer, err := in.peers.Request(ctx, address, wire.QuarantineRequest{From: in.peers.Address()})
 	if err != nil {
 		return err
 	}
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -13,10 +13,10 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// maxWatched is the maximum number of engines whose load reports and cache events one instance reads. Engines in the
+// maxPolledEngines is the maximum number of engines whose load reports and cache events one instance reads. Engines in the
 // instance's own FailureDomain come first, and each instance selects different ones of a larger pool. At two reports per
 // second, one engine costs about 1 KB per second, so in a larger fleet each engine is read by few instances.
-const maxWatched = 64
+const maxPolledEngines = 64
 
 // updateReaders runs one reader of load reports and one of cache events for each selected engine, and stops the others.
 func (in *Instance) updateReaders(ctx context.Context, listed event.UpstreamsListed) {
@@ -39,7 +39,8 @@
 	}
 }
 
-// selectEngines returns the engines to read from, at most maxWatched. Each call selects the same ones of an unchanged list.
+// selectEngines returns the engines to read from, at most maxPolledEngines. Each call selects the same ones of an unchanged
+// list.
 func (in *Instance) selectEngines(listed event.UpstreamsListed) []event.Upstream {
 	cfg := in.config.Load().cfg
 	var engines []event.Upstream
@@ -48,7 +49,7 @@
 			engines = append(engines, up)
 		}
 	}
-	if len(engines) <= maxWatched {
+	if len(engines) <= maxPolledEngines {
 		return engines
 	}
 	slices.SortFunc(engines, func(a, b event.Upstream) int {
@@ -60,7 +61,7 @@
 		}
 		return cmp.Compare(in.preference(a), in.preference(b))
 	})
-	return engines[:maxWatched]
+	return engines[:maxPolledEngines]
 }
 
 func (in *Instance) sameDomain(up event.Upstream) bool {
--- a/internal/entry/reports_test.go
+++ b/internal/entry/reports_test.go
@@ -12,7 +12,7 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-func TestWatchedEnginesAreBounded(t *testing.T) {
+func TestPolledEnginesAreBounded(t *testing.T) {
 	// Guards against unbounded numbers of report readers in a fleet with many more engines than one instance may read from.
 	// Each instance must select engines of its own FailureDomain first and always the same ones, and two instances must
 	// select mostly different ones.
@@ -32,7 +32,7 @@
 				assert.Equal(t, up.FailureDomain, "a")
 			}
 		}
-		assert.Equal(t, len(chosen[name]), maxWatched)
+		assert.Equal(t, len(chosen[name]), maxPolledEngines)
 	}
 	both := 0
 	for name := range chosen["entry-0"] {
@@ -40,5 +40,5 @@
 			both++
 		}
 	}
-	assert.Assert(t, both < maxWatched/2, "%d in common", both)
+	assert.Assert(t, both < maxPolledEngines/2, "%d in common", both)
 }
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -33,8 +33,8 @@
 // newKeeper returns the keeper that coordinates the pools whose leases this instance holds.
 func (in *Instance) newKeeper() *order.Keeper {
 	self := event.Instance{Name: in.opts.Name, FailureDomain: in.opts.FailureDomain}
-	weights := order.NewLoadLimiter(in.store, in.run, cmp.Or(in.opts.WeightLoads, defaultWeightLoads))
-	keeper := order.NewKeeper(self, in.leases, weights, in.upstream)
+	limiter := order.NewLoadLimiter(in.store, in.run, cmp.Or(in.opts.WeightLoads, defaultWeightLoads))
+	keeper := order.NewKeeper(self, in.leases, limiter, in.upstream)
 	keeper.OnSent = in.recordOrder
 	keeper.OnPostponed = func(string) { in.incCounter("Orders.Waited") }
 	return keeper
@@ -45,14 +45,14 @@
 }
 
 // recordOrder counts and logs an order that was sent to an upstream.
-func (in *Instance) recordOrder(pool string, snd *order.PendingOrder, err error) {
+func (in *Instance) recordOrder(pool string, po *order.PendingOrder, err error) {
 	if err != nil {
 		in.incCounter("Orders.Failed")
 	} else {
 		in.incCounter("Orders.Given")
 	}
-	in.log.Info().Str("Pool", pool).Str("Upstream", snd.Replica.Name).Strs("Models", snd.Order.Models).
-		Int64("Fence", snd.Order.Fence).Err(err).Msg("order given")
+	in.log.Info().Str("Pool", pool).Str("Upstream", po.Replica.Name).Strs("Models", po.Order.Models).
+		Int64("Fence", po.Order.Fence).Err(err).Msg("order given")
 }
 
 // stateGauges updates the gauges that show whether this instance watches the configuration, how many leases it holds and
--- a/internal/once/home.go
+++ b/internal/once/home.go
@@ -62,7 +62,7 @@
 	return addresses[shard]
 }
 
-// isUnavailable reports whether the store gave no answer, as opposed to refusing the call.
+// isUnavailable reports whether the store gave no valid response, as opposed to refusing the call.
 func isUnavailable(err error) bool {
 	return errorx.IsOfType(err, store.Unavailable)
 }
@@ -80,8 +80,8 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		wait = time.Until(deadline)
 	}
-	answer, err := cs.Transport.Ask(ctx, address, wire.ClaimRequest{
-		Shard: shard, Hash: op.hash, Digest: op.digest, Nonce: op.nonce, Lasts: time.Until(op.deadline), Wait: wait,
+	answer, err := cs.Transport.Request(ctx, address, wire.ClaimRequest{
+		Shard: shard, Hash: op.hash, Digest: op.digest, Nonce: op.nonce, TimeLeft: time.Until(op.deadline), Wait: wait,
 	})
 	if err != nil {
 		return claimResult{}, false
@@ -101,7 +101,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	answer, err := cs.Transport.Ask(ctx, address, wire.ClaimSettle{
+	answer, err := cs.Transport.Request(ctx, address, wire.ClaimSettle{
 		Shard: shard, Hash: op.hash, Nonce: op.nonce, Outcome: wire.ClaimOutcome(op.out), Release: op.release, Wait: forwardTimeout,
 	})
 	got, ok := answer.(wire.ClaimResponse)
@@ -125,10 +125,10 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, min(msg.Wait, forwardTimeout))
 	defer cancel()
-	lasts := min(msg.Lasts, cs.retention())
+	timeLeft := min(msg.TimeLeft, cs.retention())
 	// If need be the requesting instance releases the claim, since it alone knows whether the request runs.
 	res := cs.claimHere(ctx, msg.Shard, &claimOp{
-		hash: msg.Hash, digest: msg.Digest, nonce: msg.Nonce, deadline: time.Now().Add(lasts), reply: make(chan claimResult, 1),
+		hash: msg.Hash, digest: msg.Digest, nonce: msg.Nonce, deadline: time.Now().Add(timeLeft), reply: make(chan claimResult, 1),
 	})
 	return wire.ClaimResponse{Result: int(res.result), Outcome: wire.ClaimOutcome(res.out)}
 }
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -103,7 +103,7 @@
 	return time.Duration(cs.retentionNanos.Load())
 }
 
-// recordStoreResult updates failingSince. Any error but store.Unavailable counts as an answer of the store.
+// recordStoreResult updates failingSince. Any error but store.Unavailable counts as a response of the store.
 func (cs *Claims) recordStoreResult(err error) {
 	if err == nil || !isUnavailable(err) {
 		cs.failingSince.Store(0)
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -144,8 +144,8 @@
 	cl.messageLoss = share
 }
 
-// Ask implements peers.Transport.
-func (cl *cluster) Ask(ctx context.Context, address string, msg wire.Message) (wire.Message, error) {
+// Request implements peers.Transport.
+func (cl *cluster) Request(ctx context.Context, address string, msg wire.Message) (wire.Message, error) {
 	for _, in := range cl.instances {
 		if in.name != address || cl.dropMessage() {
 			continue
@@ -159,8 +159,8 @@
 	return nil, peers.Unreachable.New("no answer from %s", address)
 }
 
-// Tell implements peers.Transport.
-func (cl *cluster) Tell(string, wire.Message) {}
+// Send implements peers.Transport.
+func (cl *cluster) Send(string, wire.Message) {}
 
 // send simulates one request under the key: the instance claims it, then runs it and records its outcome, or releases it.
 func (in *instance) send(key string, giveUp bool) event.ClaimResult {
--- a/internal/order/keeper.go
+++ b/internal/order/keeper.go
@@ -35,10 +35,10 @@
 type Keeper struct {
 	self    event.Instance
 	holder  *lease.Holder
-	weights *LoadLimiter
+	limiter *LoadLimiter
 	engines upstr.Engine
 	// OnSent is called for each order after it was sent or failed.
-	OnSent func(pool string, snd *PendingOrder, err error)
+	OnSent func(pool string, po *PendingOrder, err error)
 	// OnPostponed is called for each order that is postponed because the weight store's rate limit does not allow its loads, or
 	// could not be checked.
 	OnPostponed func(pool string)
@@ -47,11 +47,11 @@
 }
 
 // NewKeeper returns a keeper for the instance.
-func NewKeeper(self event.Instance, holder *lease.Holder, weights *LoadLimiter, engines upstr.Engine) *Keeper {
+func NewKeeper(self event.Instance, holder *lease.Holder, limiter *LoadLimiter, engines upstr.Engine) *Keeper {
 	return &Keeper{
 		self:        self,
 		holder:      holder,
-		weights:     weights,
+		limiter:     limiter,
 		engines:     engines,
 		OnSent:      func(string, *PendingOrder, error) {},
 		OnPostponed: func(string) {},
@@ -103,7 +103,8 @@
 	return svc.Kind == decl.KindModel && (len(svc.Roles) > 0 || len(WantedModels(svc, nil)) > 0)
 }
 
-// groupIntoPools returns the pools of the listed replicas, sorted by name. It leaves out services for which States is false.
+// groupIntoPools returns the pools of the listed replicas, sorted by name. It leaves out services that do not
+// configure their replicas.
 func groupIntoPools(view View) []*pool {
 	pools := map[string]*pool{}
 	for _, service := range sortedKeys(view.Services) {
@@ -173,13 +174,13 @@
 // sendNext sends the next order of a pool whose lease is held.
 func (kp *Keeper) sendNext(ctx context.Context, pl *pool, ro *Rollout, held lease.Lease) {
 	now := time.Now()
-	snd := ro.Next(Snapshot{Now: now, Service: pl.service, Replicas: pl.reps, Since: held.Since, Fence: held.Fence, TTL: lease.TTL})
-	if snd == nil {
+	po := ro.Next(Snapshot{Now: now, Service: pl.service, Replicas: pl.reps, Since: held.Since, Fence: held.Fence, TTL: lease.TTL})
+	if po == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, SendTimeout)
 	defer cancel()
-	if ok, err := kp.weights.Take(ctx, snd.Loads); err != nil || !ok {
+	if ok, err := kp.limiter.Take(ctx, po.Loads); err != nil || !ok {
 		kp.OnPostponed(pl.name)
 		return
 	}
@@ -187,9 +188,9 @@
 	if current, ok := kp.holder.Check(pl.name); !ok || current.Fence != held.Fence {
 		return
 	}
-	err := kp.engines.Order(ctx, snd.Replica.Address, snd.Order)
-	ro.Sent(now, snd)
-	kp.OnSent(pl.name, snd, err)
+	err := kp.engines.Order(ctx, po.Replica.Address, po.Order)
+	ro.RecordSent(now, po)
+	kp.OnSent(pl.name, po, err)
 	if errorx.IsOfType(err, upstr.Fenced) {
 		kp.holder.Drop(pl.name)
 	}
--- a/internal/order/weights.go
+++ b/internal/order/limiter.go
@@ -49,14 +49,14 @@
 // Take takes the loads of one order from the limit, or returns false if they have to wait. An order with more loads than
 // fit into a minute takes the whole minute's. After a lost response, loads may stay taken for an order that is never sent;
 // the rate then stays below the limit for a minute.
-func (ws *LoadLimiter) Take(ctx context.Context, loads int) (bool, error) {
+func (ll *LoadLimiter) Take(ctx context.Context, loads int) (bool, error) {
 	if loads == 0 {
 		return true, nil
 	}
-	ws.nextNonce++
-	nonce := ws.name + "/" + strconv.Itoa(ws.nextNonce)
+	ll.nextNonce++
+	nonce := ll.name + "/" + strconv.Itoa(ll.nextNonce)
 	for range maxAttempts {
-		ok, err := ws.take(ctx, min(loads, ws.PerMinute), nonce)
+		ok, err := ll.take(ctx, min(loads, ll.PerMinute), nonce)
 		if !errorx.IsOfType(err, store.Conflict) {
 			return ok, err
 		}
@@ -64,9 +64,9 @@
 	return false, nil
 }
 
-func (ws *LoadLimiter) take(ctx context.Context, loads int, nonce string) (bool, error) {
+func (ll *LoadLimiter) take(ctx context.Context, loads int, nonce string) (bool, error) {
 	now := time.Now()
-	list, revision, err := ws.read(ctx)
+	list, revision, err := ll.read(ctx)
 	if err != nil {
 		return false, err
 	}
@@ -76,19 +76,19 @@
 			return true, nil
 		}
 	}
-	if total+loads > ws.PerMinute {
+	if total+loads > ll.PerMinute {
 		return false, nil
 	}
 	raw, err := json.Marshal(append(kept, loadEntry{At: now.UnixMilli(), Loads: loads, Nonce: nonce}))
 	if err != nil {
 		return false, err
 	}
-	_, err = ws.st.Swap(ctx, weightsKey, raw, revision, 0)
+	_, err = ll.st.Swap(ctx, weightsKey, raw, revision, 0)
 	return err == nil, err
 }
 
-func (ws *LoadLimiter) read(ctx context.Context) ([]loadEntry, int64, error) {
-	pair, err := ws.st.Get(ctx, weightsKey)
+func (ll *LoadLimiter) read(ctx context.Context) ([]loadEntry, int64, error) {
+	pair, err := ll.st.Get(ctx, weightsKey)
 	if errorx.IsOfType(err, store.Missing) {
 		return nil, 0, nil
 	}
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -80,7 +80,8 @@
 	return &Rollout{sent: map[string]sentOrder{}}
 }
 
-// Next returns the order to send now, or nil. Sent must be called for each order that may have been sent.
+// Next returns the order to send now, or nil. RecordSent must be called for each order that may have
+// been sent.
 func (ro *Rollout) Next(snap Snapshot) *PendingOrder {
 	if snap.Now.Before(snap.Since.Add(takeoverWait(snap.Service, snap.TTL))) {
 		return nil
@@ -93,8 +94,8 @@
 			unavailable++
 			continue
 		}
-		if snd, ok := neededOrder(snap, rep); ok {
-			outdated = append(outdated, snd)
+		if po, ok := neededOrder(snap, rep); ok {
+			outdated = append(outdated, po)
 		}
 	}
 	return choose(outdated, unavailable, max(1, len(snap.Replicas)/maxUnavailableDivisor))
@@ -113,8 +114,8 @@
 // choose returns the order for a replica that serves none of the wanted models, which costs no capacity, or else the first
 // order if fewer than the allowed number of replicas are unavailable.
 func choose(outdated []PendingOrder, unavailable, allowed int) *PendingOrder {
-	for i, snd := range outdated {
-		if snd.idle() {
+	for i, po := range outdated {
+		if po.idle() {
 			return &outdated[i]
 		}
 	}
@@ -125,9 +126,9 @@
 }
 
 // idle reports whether the replica currently serves none of the wanted models, in any version.
-func (snd *PendingOrder) idle() bool {
-	for _, name := range snd.Order.Models {
-		if upstr.Offers(snd.Replica.Models, requestName(name)) {
+func (po *PendingOrder) idle() bool {
+	for _, name := range po.Order.Models {
+		if upstr.Offers(po.Replica.Models, requestName(name)) {
 			return false
 		}
 	}
@@ -144,9 +145,9 @@
 	return base
 }
 
-// Sent records an order that may have been sent.
-func (ro *Rollout) Sent(now time.Time, snd *PendingOrder) {
-	ro.sent[snd.Replica.Name] = sentOrder{order: snd.Order, at: now}
+// RecordSent records an order that may have been sent.
+func (ro *Rollout) RecordSent(now time.Time, po *PendingOrder) {
+	ro.sent[po.Replica.Name] = sentOrder{order: po.Order, at: now}
 }
 
 func (ro *Rollout) forgetUnlisted(replicas []Replica) {
@@ -194,13 +195,13 @@
 	if matches(rep, order) {
 		return PendingOrder{}, false
 	}
-	snd := PendingOrder{Replica: rep, Order: order}
+	po := PendingOrder{Replica: rep, Order: order}
 	for _, name := range order.Models {
 		if !slices.Contains(rep.Models, name) {
-			snd.Loads++
+			po.Loads++
 		}
 	}
-	return snd, true
+	return po, true
 }
 
 func matches(rep Replica, order upstr.Order) bool {
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -47,13 +47,13 @@
 			}
 		}
 		maxUnavailable = max(maxUnavailable, len(ready))
-		snd := ro.Next(order.Snapshot{Now: now, Service: svc, Replicas: reps, Since: start, Fence: 7, TTL: ttl})
-		if snd == nil {
+		po := ro.Next(order.Snapshot{Now: now, Service: svc, Replicas: reps, Since: start, Fence: 7, TTL: ttl})
+		if po == nil {
 			continue
 		}
-		ro.Sent(now, snd)
-		i := slices.IndexFunc(reps, func(rep order.Replica) bool { return rep.Name == snd.Replica.Name })
-		reps[i].Models, reps[i].Loading = nil, snd.Order.Models
+		ro.RecordSent(now, po)
+		i := slices.IndexFunc(reps, func(rep order.Replica) bool { return rep.Name == po.Replica.Name })
+		reps[i].Models, reps[i].Loading = nil, po.Order.Models
 		ready[i] = now.Add(time.Minute)
 	}
 	for _, rep := range reps {
@@ -93,13 +93,13 @@
 	ordered := map[string]int{}
 	for second := range 600 {
 		now := start.Add(time.Duration(second) * time.Second)
-		snd := ro.Next(order.Snapshot{Now: now, Service: lyricService("v2", true), Replicas: reps, Since: start, Fence: 7, TTL: ttl})
-		if snd == nil {
+		po := ro.Next(order.Snapshot{Now: now, Service: lyricService("v2", true), Replicas: reps, Since: start, Fence: 7, TTL: ttl})
+		if po == nil {
 			continue
 		}
-		ro.Sent(now, snd)
-		ordered[snd.Replica.Name]++
-		reps[0].Models, reps[0].Loading = nil, snd.Order.Models
+		ro.RecordSent(now, po)
+		ordered[po.Replica.Name]++
+		reps[0].Models, reps[0].Loading = nil, po.Order.Models
 	}
 	assert.Equal(t, len(ordered), 1)
 	assert.Assert(t, ordered["lyric-00"] > 1)
@@ -122,10 +122,10 @@
 			snap.Now = start.Add(tc.wait - time.Millisecond)
 			assert.Assert(t, order.NewRollout().Next(snap) == nil)
 			snap.Now = start.Add(tc.wait)
-			snd := order.NewRollout().Next(snap)
-			assert.Assert(t, snd != nil)
-			assert.Equal(t, snd.Order.Fence, int64(7))
-			assert.Equal(t, snd.Loads, 2)
+			po := order.NewRollout().Next(snap)
+			assert.Assert(t, po != nil)
+			assert.Equal(t, po.Order.Fence, int64(7))
+			assert.Equal(t, po.Loads, 2)
 		})
 	}
 }
@@ -138,9 +138,9 @@
 	snap := order.Snapshot{Now: start.Add(time.Hour), Service: lyricService("v2", false), Replicas: reps, Since: start, TTL: ttl}
 	assert.Assert(t, ro.Next(snap) == nil)
 	reps[1].Models = []string{"lyric@v1"}
-	snd := ro.Next(snap)
-	assert.Assert(t, snd != nil)
-	assert.Equal(t, snd.Replica.Name, "lyric-01")
+	po := ro.Next(snap)
+	assert.Assert(t, po != nil)
+	assert.Equal(t, po.Replica.Name, "lyric-01")
 }
 
 func TestNoOrderWithoutDeclaredVersions(t *testing.T) {
--- a/internal/peers/keys.go
+++ b/internal/peers/keys.go
@@ -14,7 +14,7 @@
 // keysCheckInterval is the minimum time between two checks of the key files for changes.
 const keysCheckInterval = time.Second
 
-// Keys hold the certificate and key that an instance authenticates itself with, and the authority that the certificates
+// Keys holds the certificate and key that an instance authenticates itself with, and the authority that the certificates
 // of its peers must be signed by.
 type Keys struct {
 	// paths names the files of the authority's certificate, the own certificate and its key, in this order. All are
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -18,7 +18,7 @@
 	address string
 	// dialling holds one token while a connection is being opened.
 	dialling chan struct{}
-	// queue holds the encoded messages of Tell that wait to be sent.
+	// queue holds the encoded messages that Send has queued.
 	queue chan []byte
 
 	// mu guards the fields below.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -11,15 +11,15 @@
 
 // Transport sends messages to the peer address of another instance.
 type Transport interface {
-	// Ask sends a message and returns the peer's answer. If none arrives, the error is Unreachable.
-	Ask(ctx context.Context, address string, msg wire.Message) (wire.Message, error)
-	// Tell sends a message without waiting for an answer. The message may be lost. It should be at most about a kilobyte
+	// Request sends a message and returns the peer's answer. If none arrives, the error is Unreachable.
+	Request(ctx context.Context, address string, msg wire.Message) (wire.Message, error)
+	// Send sends a message without waiting for an answer. The message may be lost. It should be at most about a kilobyte
 	// long, so that it fits into one packet.
-	Tell(address string, msg wire.Message)
+	Send(address string, msg wire.Message)
 }
 
 // Handler handles a message of a peer and returns the answer, where nil stands for wire.Ack. The answer to a message sent
-// by Tell is discarded. from is the name in the peer's certificate. A Handler is called from many goroutines at once and
+// by Send is discarded. from is the name in the peer's certificate. A Handler is called from many goroutines at once and
 // must not block for long.
 type Handler func(ctx context.Context, from string, msg wire.Message) wire.Message
 
--- a/internal/peers/quic.go
+++ b/internal/peers/quic.go
@@ -25,8 +25,8 @@
 	silenceTimeout = time.Second
 	// recheckInterval is how often connections are checked against replaced keys and unused links are removed.
 	recheckInterval = 2 * time.Second
-	// streamTimeout bounds the reading of one message, the writing of its answer, and the sending of a message that Tell
-	// puts on a stream.
+	// streamTimeout bounds the reading of one message, the writing of its answer, and the sending of a queued message that
+	// is longer than maxDatagram.
 	streamTimeout = 5 * time.Second
 	// maxStreams caps the streams that a peer can have open on one connection.
 	maxStreams = 64
@@ -34,7 +34,7 @@
 	maxHandlers = 64
 	// maxDatagram is the length in bytes that fits into one packet on any path. Longer messages are sent on a stream.
 	maxDatagram = 1100
-	// queueCapacity is how many messages of Tell can wait for one peer. Further ones are dropped.
+	// queueCapacity is how many messages of Send can wait for one peer. Further ones are dropped.
 	queueCapacity = 128
 )
 
@@ -77,7 +77,7 @@
 	Sent int64
 	// Received counts the bytes of UDP payload received.
 	Received int64
-	// Dropped counts messages of Tell that could not be queued or sent.
+	// Dropped counts messages of Send that could not be queued or sent.
 	Dropped int64
 	// Dialled counts the connections that this instance opened.
 	Dialled int64
@@ -264,21 +264,21 @@
 	return lk
 }
 
-// Ask implements Transport.
-func (qu *QUIC) Ask(ctx context.Context, address string, msg wire.Message) (wire.Message, error) {
+// Request implements Transport.
+func (qu *QUIC) Request(ctx context.Context, address string, msg wire.Message) (wire.Message, error) {
 	raw, err := wire.Encode(msg)
 	if err != nil {
 		return nil, err
 	}
 	answer, err := qu.linkTo(address).exchange(ctx, raw)
 	if err != nil {
-		return nil, Unreachable.Wrap(err, "peers: %s gave no answer", address)
+		return nil, Unreachable.Wrap(err, "peers: no answer from %s: check that it runs and that UDP packets reach it", address)
 	}
 	return wire.Decode(answer)
 }
 
-// Tell implements Transport. It never blocks: a message that cannot be queued is dropped and counted.
-func (qu *QUIC) Tell(address string, msg wire.Message) {
+// Send implements Transport. It never blocks: a message that cannot be queued is dropped and counted.
+func (qu *QUIC) Send(address string, msg wire.Message) {
 	raw, err := wire.Encode(msg)
 	if err != nil || !qu.linkTo(address).enqueue(raw) {
 		qu.countDropped()
--- a/internal/peers/quic_test.go
+++ b/internal/peers/quic_test.go
@@ -21,7 +21,8 @@
 	msg  wire.Message
 }
 
-// start runs a transport whose handler answers a ConfigWant with its own version and puts all messages on the channel.
+// start runs a transport whose handler answers a ConfigRequest with the requested version and puts all messages on the
+// channel.
 func start(t *testing.T, keys *peers.Keys) (*peers.QUIC, chan received) {
 	t.Helper()
 	got := make(chan received, 64)
@@ -30,8 +31,8 @@
 		case got <- received{from, msg}:
 		default:
 		}
-		if want, ok := msg.(wire.ConfigRequest); ok {
-			return wire.ConfigPatches{First: want.After}
+		if request, ok := msg.(wire.ConfigRequest); ok {
+			return wire.ConfigPatches{First: request.After}
 		}
 		return nil
 	})
@@ -62,12 +63,12 @@
 	return authority
 }
 
-// ask sends a message and waits up to 10 seconds for the answer; under load, a peer may be late for a handshake.
-func ask(t *testing.T, qu *peers.QUIC, address string, msg wire.Message) (wire.Message, error) {
+// request sends a message and waits up to 10 seconds for the answer; under load, a peer may be late for a handshake.
+func request(t *testing.T, qu *peers.QUIC, address string, msg wire.Message) (wire.Message, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	return qu.Ask(ctx, address, msg)
+	return qu.Request(ctx, address, msg)
 }
 
 func TestBothPeersSendOverOneConnection(t *testing.T) {
@@ -75,16 +76,16 @@
 	authority := newAuthority(t)
 	quA, gotA := start(t, issue(t, authority, "entry-1"))
 	quB, gotB := start(t, issue(t, authority, "entry-2"))
-	answer, err := ask(t, quA, quB.Address(), wire.ConfigRequest{After: 7})
+	answer, err := request(t, quA, quB.Address(), wire.ConfigRequest{After: 7})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, answer, wire.ConfigPatches{First: 7})
 	assert.DeepEqual(t, (<-gotB).from, "entry-1")
 	// The message in the other direction uses the connection that the peer opened.
-	quB.Tell(quA.Address(), wire.Quarantine{Deaths: 2})
+	quB.Send(quA.Address(), wire.Quarantine{Deaths: 2})
 	assert.DeepEqual(t, <-gotA, received{"entry-2", wire.Quarantine{Deaths: 2}}, cmpReceived)
 	assert.Equal(t, quB.Traffic().Dialled, int64(0))
 	long := wire.ConfigPatches{Snapshot: make([]byte, 1<<20)}
-	quB.Tell(quA.Address(), long)
+	quB.Send(quA.Address(), long)
 	assert.DeepEqual(t, (<-gotA).msg, long)
 }
 
@@ -96,10 +97,10 @@
 	foreign, _ := start(t, issue(t, newAuthority(t), "entry-1"))
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	_, err := foreign.Ask(ctx, good.Address(), wire.ConfigRequest{})
+	_, err := foreign.Request(ctx, good.Address(), wire.ConfigRequest{})
 	assert.Assert(t, errorx.IsOfType(err, peers.Unreachable), "%v", err)
-	foreign.Tell(good.Address(), wire.Quarantine{})
-	_, err = good.Ask(ctx, foreign.Address(), wire.ConfigRequest{})
+	foreign.Send(good.Address(), wire.Quarantine{})
+	_, err = good.Request(ctx, foreign.Address(), wire.ConfigRequest{})
 	assert.Assert(t, errorx.IsOfType(err, peers.Unreachable), "%v", err)
 	assert.Equal(t, len(got), 0)
 }
@@ -120,18 +121,18 @@
 	}
 	quA, _ := start(t, load(old, dir, "entry-1"))
 	quB, _ := start(t, load(old, other, "entry-2"))
-	_, err := ask(t, quA, quB.Address(), wire.ConfigRequest{})
+	_, err := request(t, quA, quB.Address(), wire.ConfigRequest{})
 	assert.NilError(t, err)
 	replace(t, next, dir, "entry-1")
 	eventually(t, func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		defer cancel()
-		_, err := quB.Ask(ctx, quA.Address(), wire.ConfigRequest{})
+		_, err := quB.Request(ctx, quA.Address(), wire.ConfigRequest{})
 		return err != nil
 	})
 	replace(t, next, other, "entry-2")
 	eventually(t, func() bool {
-		_, err := ask(t, quB, quA.Address(), wire.ConfigRequest{})
+		_, err := request(t, quB, quA.Address(), wire.ConfigRequest{})
 		return err == nil
 	})
 }
@@ -166,7 +167,7 @@
 	authority := newAuthority(t)
 	qu, _ := start(t, issue(t, authority, "entry-1"))
 	first := listenBehindProxy(t, issue(t, authority, "entry-2"), "127.0.0.1:0")
-	_, err := ask(t, qu, first.address, wire.ConfigRequest{})
+	_, err := request(t, qu, first.address, wire.ConfigRequest{})
 	assert.NilError(t, err)
 	first.kill()
 	second := listenBehindProxy(t, issue(t, authority, "entry-2"), first.address)
@@ -174,7 +175,7 @@
 	eventually(t, func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		_, err := qu.Ask(ctx, first.address, wire.ConfigRequest{})
+		_, err := qu.Request(ctx, first.address, wire.ConfigRequest{})
 		return err == nil
 	})
 	assert.Equal(t, qu.Traffic().Dialled, int64(2))
--- a/internal/store/etcd.go
+++ b/internal/store/etcd.go
@@ -60,26 +60,26 @@
 
 // Get implements Store.
 func (cl *Client) Get(ctx context.Context, key string) (Pair, error) {
-	var answer RangeResponse
-	if err := cl.call(ctx, "/v3/kv/range", RangeRequest{Key: []byte(key)}, &answer); err != nil {
+	var response RangeResponse
+	if err := cl.call(ctx, "/v3/kv/range", RangeRequest{Key: []byte(key)}, &response); err != nil {
 		return Pair{}, err
 	}
-	if len(answer.Kvs) == 0 {
+	if len(response.Kvs) == 0 {
 		return Pair{}, Missing.New("store: no key %s", key)
 	}
-	return answer.Kvs[0].pair(), nil
+	return response.Kvs[0].pair(), nil
 }
 
 // List implements Store.
 func (cl *Client) List(ctx context.Context, prefix, from string, limit int) ([]Pair, error) {
 	start := max(prefix, from)
 	request := RangeRequest{Key: []byte(start), RangeEnd: RangeEnd(prefix), Limit: int64(limit)}
-	var answer RangeResponse
-	if err := cl.call(ctx, "/v3/kv/range", request, &answer); err != nil {
+	var response RangeResponse
+	if err := cl.call(ctx, "/v3/kv/range", request, &response); err != nil {
 		return nil, err
 	}
-	pairs := make([]Pair, 0, len(answer.Kvs))
-	for _, kv := range answer.Kvs {
+	pairs := make([]Pair, 0, len(response.Kvs))
+	for _, kv := range response.Kvs {
 		pairs = append(pairs, kv.pair())
 	}
 	return pairs, nil
@@ -107,14 +107,14 @@
 		Compare: []Compare{revisionEquals(key, revision)},
 		Success: []Op{{Put: &PutRequest{Key: []byte(key), Value: value, Lease: int64(lease)}}},
 	}
-	var answer TxnResponse
-	if err := cl.call(ctx, "/v3/kv/txn", request, &answer); err != nil {
+	var response TxnResponse
+	if err := cl.call(ctx, "/v3/kv/txn", request, &response); err != nil {
 		return Pair{}, err
 	}
-	if !answer.Succeeded {
+	if !response.Succeeded {
 		return Pair{}, Conflict.New("store: %s was written since revision %d; read it again", key, revision)
 	}
-	return Pair{Key: key, Value: value, Revision: answer.Header.Revision, Lease: lease}, nil
+	return Pair{Key: key, Value: value, Revision: response.Header.Revision, Lease: lease}, nil
 }
 
 func revisionEquals(key string, revision int64) Compare {
@@ -127,11 +127,11 @@
 		Compare: []Compare{revisionEquals(key, revision)},
 		Success: []Op{{Delete: &DeleteRequest{Key: []byte(key)}}},
 	}
-	var answer TxnResponse
-	if err := cl.call(ctx, "/v3/kv/txn", request, &answer); err != nil {
+	var response TxnResponse
+	if err := cl.call(ctx, "/v3/kv/txn", request, &response); err != nil {
 		return err
 	}
-	if !answer.Succeeded {
+	if !response.Succeeded {
 		return Conflict.New("store: %s was written since revision %d; read it again", key, revision)
 	}
 	return nil
@@ -140,18 +140,18 @@
 // Grant implements Store.
 func (cl *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
-	var answer LeaseResponse
-	err := cl.call(ctx, "/v3/lease/grant", LeaseRequest{TTL: seconds}, &answer)
-	return LeaseID(answer.ID), err
+	var response LeaseResponse
+	err := cl.call(ctx, "/v3/lease/grant", LeaseRequest{TTL: seconds}, &response)
+	return LeaseID(response.ID), err
 }
 
 // Renew implements Store.
 func (cl *Client) Renew(ctx context.Context, lease LeaseID) error {
-	var answer KeepAliveResponse
-	if err := cl.call(ctx, "/v3/lease/keepalive", LeaseRequest{ID: int64(lease)}, &answer); err != nil {
+	var response KeepAliveResponse
+	if err := cl.call(ctx, "/v3/lease/keepalive", LeaseRequest{ID: int64(lease)}, &response); err != nil {
 		return err
 	}
-	if answer.Result.TTL <= 0 {
+	if response.Result.TTL <= 0 {
 		return Missing.New("store: lease %d has ended; grant a new one", lease)
 	}
 	return nil
@@ -195,11 +195,11 @@
 	defer close(changes)
 	defer func() { _ = body.Close() }()
 	for lines.Scan() {
-		var answer WatchResponse
-		if json.Unmarshal(lines.Bytes(), &answer) != nil || answer.Result.Canceled {
+		var response WatchResponse
+		if json.Unmarshal(lines.Bytes(), &response) != nil || response.Result.Canceled {
 			return
 		}
-		for _, ev := range answer.Result.Events {
+		for _, ev := range response.Result.Events {
 			select {
 			case changes <- Change{Pair: ev.Kv.pair(), Deleted: ev.Type == EventDelete}:
 			case <-ctx.Done():
@@ -209,7 +209,7 @@
 	}
 }
 
-func (cl *Client) call(ctx context.Context, path string, request, answer any) error {
+func (cl *Client) call(ctx context.Context, path string, request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	resp, err := cl.post(ctx, path, request)
@@ -225,10 +225,10 @@
 	if len(raw) > maxResponseBytes {
 		return Invalid.New("store: %s answered more than %d bytes; ask for fewer pairs", path, maxResponseBytes)
 	}
-	if answer == nil {
+	if response == nil {
 		return nil
 	}
-	if err := json.Unmarshal(raw, answer); err != nil {
+	if err := json.Unmarshal(raw, response); err != nil {
 		return Unavailable.Wrap(err, "store: %s answered no JSON", path)
 	}
 	return nil
--- a/internal/upstr/client.go
+++ b/internal/upstr/client.go
@@ -25,7 +25,7 @@
 	// dialTimeout bounds the time to open a connection.
 	dialTimeout = 2 * time.Second
 	// probeTimeout bounds the probe of Died. On a busy machine the connections of a dead process take a while to close:
-	// with 300 ms, 4 of 42 parallel runs missed a death and let a poisonous request kill a third engine; with 2 s, 1 of
+	// with 300 ms, 4 of 42 parallel runs missed a death and let a request that crashes engines kill a third one; with 2 s, 1 of
 	// 42 did.
 	probeTimeout = 2 * time.Second
 	// idleTimeout is how long an idle connection is kept.
@@ -34,7 +34,7 @@
 	idlePerUpstream = 64
 	// maxReportBytes bounds an engine's load report.
 	maxReportBytes = 1 << 20
-	// maxCacheEventsBytes bounds one answer with cache events.
+	// maxCacheEventsBytes bounds one response with cache events.
 	maxCacheEventsBytes = 8 << 20
 )
 
@@ -44,20 +44,20 @@
 	// pools holds one transport per address, so that the idle connections to one unresponsive upstream can be closed
 	// alone.
 	pools map[string]*http.Transport
-	// fresh opens a new connection for each call.
-	fresh *http.Transport
+	// unpooled opens a new connection for each call and closes it afterwards.
+	unpooled *http.Transport
 }
 
 // New returns a client with no connections.
 func New() *Client {
-	return &Client{pools: map[string]*http.Transport{}, fresh: newTransport(true)}
+	return &Client{pools: map[string]*http.Transport{}, unpooled: newTransport(true)}
 }
 
-func newTransport(fresh bool) *http.Transport {
+func newTransport(disableKeepAlives bool) *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
 		DialContext:         dialer.DialContext,
-		DisableKeepAlives:   fresh,
+		DisableKeepAlives:   disableKeepAlives,
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: idlePerUpstream,
 		IdleConnTimeout:     idleTimeout,
@@ -71,7 +71,7 @@
 	// carries an idempotency key. The request would then run twice. It never retries on a connection that was not used
 	// before, so calls that must not be repeated ask for a new one.
 	if call.NewConnection {
-		return cl.fresh
+		return cl.unpooled
 	}
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -83,7 +83,7 @@
 	return pool
 }
 
-// Died reports whether the upstream's process is gone: it refuses a new connection or closes it without an answer. An
+// Died reports whether the upstream's process is gone: it refuses a new connection or closes it without a response. An
 // upstream that only closed an earlier connection answers on the new one. An accepted connection alone proves nothing,
 // since a proxy in between may accept it for a process that is gone; so Died sends a request that every server answers
 // and that has no effect. A timeout does not count as a death: a process that crashes does not leave its connections
@@ -99,7 +99,7 @@
 	return err != nil && limited.Err() == nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// probe sends an OPTIONS request and waits for the first byte of the answer.
+// probe sends an OPTIONS request and waits for the first byte of the response.
 func probe(ctx context.Context, conn net.Conn, address string) error {
 	if until, ok := ctx.Deadline(); ok {
 		_ = conn.SetDeadline(until)
@@ -129,7 +129,7 @@
 	for _, pool := range cl.pools {
 		pool.CloseIdleConnections()
 	}
-	cl.fresh.CloseIdleConnections()
+	cl.unpooled.CloseIdleConnections()
 }
 
 // Do implements Plain.
@@ -298,7 +298,7 @@
 	return cl.exchange(ctx, call, 0, nil)
 }
 
-// exchange sends a call and decodes at most limit bytes of its JSON answer into out, unless out is nil.
+// exchange sends a call and decodes at most limit bytes of its JSON response into out, unless out is nil.
 func (cl *Client) exchange(ctx context.Context, call Call, limit int64, out any) error {
 	resp, err := cl.Do(ctx, call)
 	if err != nil {
--- a/internal/upstr/upstr.go
+++ b/internal/upstr/upstr.go
@@ -33,7 +33,7 @@
 	HeaderKey = "Idempotency-Key"
 	// HeaderFence is the fencing number of an order.
 	HeaderFence = "X-Fencing-Number"
-	// RunStateNotRun is the value of HeaderRun for a request that was not run.
+	// RunStateNotRun is the value of HeaderRunState for a request that was not run.
 	RunStateNotRun = "NotRun"
 )
 
@@ -50,7 +50,7 @@
 	Load(ctx context.Context, address string) (Report, error)
 	// CacheEvents returns the batches after the sequence number. If there are none, it waits for some time.
 	CacheEvents(ctx context.Context, address string, after int64) ([]event.CacheChanged, error)
-	// Order tells the engine which models to have loaded and which role to take.
+	// Order sends the engine an order, which states the models to have loaded and the role to take.
 	Order(ctx context.Context, address string, order Order) error
 	// CloseIdle closes the idle connections to the address.
 	CloseIdle(address string)
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -10,9 +10,9 @@
 	"dandelionsail.example/dandelionsail/internal/wire"
 )
 
-// messages returns one message of each type except ConfigNews, ClaimAsk, ClaimAnswer and ClaimSettle.
+// messages returns one message of each type except ConfigAnnouncement, ClaimRequest, ClaimResponse and ClaimSettle.
 func messages() []wire.Message {
-	words := []event.StatusUpdate{{Name: "entry-1", State: event.StatusSuspect, Incarnation: 7}}
+	updates := []event.StatusUpdate{{Name: "entry-1", State: event.StatusSuspect, Incarnation: 7}}
 	return []wire.Message{
 		wire.Ack{},
 		wire.PermitRequest{Holder: "entry-1", Peer: "10.0.0.1:8081", Request: "r~1", Tokens: 1000, Wait: time.Minute},
@@ -20,14 +20,14 @@
 		wire.PermitReturn{Request: "r~1", Service: "lyric", FailureDomain: "a"},
 		wire.PermitRenew{Holder: "entry-1", Requests: []string{"r~1"}},
 		wire.PermitStatus{From: "entry-0", Unknown: []string{"r~1"}},
-		wire.Quarantine{Deaths: 2, Lasts: time.Hour},
+		wire.Quarantine{Deaths: 2, TTL: time.Hour},
 		wire.QuarantineRequest{From: "10.0.0.1:7400"},
 		wire.QuarantineList{Entries: []wire.Quarantine{{Deaths: 1}}},
 		wire.ConfigRequest{After: 3},
 		wire.ConfigPatches{First: 4, Patches: [][]byte{[]byte("[]")}},
-		wire.Probe{From: "entry-1", Peer: "10.0.0.1:8081", Seq: 9, Words: words},
-		wire.ProbeAck{From: "entry-2", Seq: 9, Words: words},
-		wire.Gossip{From: "entry-1", Words: words},
+		wire.Probe{From: "entry-1", Peer: "10.0.0.1:8081", Seq: 9, Words: updates},
+		wire.ProbeAck{From: "entry-2", Seq: 9, Words: updates},
+		wire.Gossip{From: "entry-1", Words: updates},
 		wire.Demand{From: "entry-1", Demands: []event.Demand{{Organisation: "parish", Fraction: 0.5}}},
 		wire.Shares{Shares: []event.Share{{Organisation: "parish", Fraction: 0.5}}},
 	}
--- a/internal/wire/permit.go
+++ b/internal/wire/permit.go
@@ -6,7 +6,7 @@
 type (
 	// PermitRequest asks a pool's coordinator for a reservation, or reports an existing reservation to a new coordinator.
 	PermitRequest event.PermitRequested
-	// PermitGrant answers a PermitAsk, at once or later.
+	// PermitGrant answers a PermitRequest, at once or later.
 	PermitGrant event.PermitDecided
 	// PermitReturn releases a reservation or a place in the queue.
 	PermitReturn event.PermitReturned
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -22,23 +22,23 @@
 	From string
 }
 
-// QuarantineList answers a QuarantineWant.
+// QuarantineList answers a QuarantineRequest.
 type QuarantineList struct{ Entries []Quarantine }
 
-// Quarantine reports that requests with the same content took upstreams down.
+// Quarantine reports that upstreams died while they processed requests with the same content.
 type Quarantine struct {
 	// Digest is the digest of the content.
 	Digest [32]byte
-	// Deaths counts the upstreams that died while they processed such a request.
+	// Deaths is the number of upstreams that died while they processed such a request.
 	Deaths int
-	// Lasts is the remaining time of the quarantine.
-	Lasts time.Duration
+	// TTL is the remaining time of the quarantine.
+	TTL time.Duration `cbor:"Lasts"`
 }
 
 // ConfigRequest asks for the configuration patches after a version.
 type ConfigRequest struct{ After int64 }
 
-// ConfigPatches answers a ConfigWant with the patches in order of their versions, or with a snapshot of the whole
+// ConfigPatches answers a ConfigRequest with the patches in order of their versions, or with a snapshot of the whole
 // configuration if the peer no longer holds all of the patches.
 type ConfigPatches struct {
 	// First is the version of the first patch.
@@ -49,8 +49,8 @@
 	Snapshot []byte
 }
 
-// Demand reports what organisations demand at one instance. It is sent to the instance that divides their limits among the
-// fleet.
+// Demand reports what organisations demand at one instance. It is sent to the instance that divides their limits among all
+// instances.
 type Demand struct {
 	_       struct{} `cbor:",toarray"`
 	From    string
@@ -66,14 +66,16 @@
 func (Demand) isMessage() {}
 func (Shares) isMessage() {}
 
-// ConfigAnnouncement announces a configuration version. An instance that has a lower version asks the sender for the patches.
+// ConfigAnnouncement announces a configuration version. An instance that has a lower version requests the patches from the
+// sender.
 type ConfigAnnouncement struct {
 	Version int64
-	// Teller is the peer address of the instance that sends the announcement and has the version.
-	Teller string
+	// Announcer is the peer address of the instance that sends the announcement and has the version.
+	Announcer string `cbor:"Teller"`
 }
 
-// ClaimRequest asks the instance that writes a shard to record a claim of an idempotency key.
+// ClaimRequest asks the home of a shard, the instance that batches the shard's writes, to record a claim of an idempotency
+// key.
 type ClaimRequest struct {
 	Shard int
 	// Hash identifies the key within the shard.
@@ -82,8 +84,8 @@
 	Digest [16]byte
 	// Nonce identifies the claim, so that the claimant recognises its own claim in the store if the answer is lost.
 	Nonce string
-	// Lasts is the time that the request has left.
-	Lasts time.Duration
+	// TimeLeft is the time until the request's deadline.
+	TimeLeft time.Duration `cbor:"Lasts"`
 	// Wait is how long the sender waits for the answer.
 	Wait time.Duration
 }
@@ -98,14 +100,14 @@
 	Truncated   bool
 }
 
-// ClaimResponse answers a ClaimAsk or a ClaimSettle.
+// ClaimResponse answers a ClaimRequest or a ClaimSettle.
 type ClaimResponse struct {
 	// Result is an event.ClaimResult.
 	Result  int
 	Outcome ClaimOutcome
 }
 
-// ClaimSettle asks the instance that writes a shard to record the outcome of a claimed request.
+// ClaimSettle asks the home of a shard to record the outcome of a claimed request, or to remove the claim.
 type ClaimSettle struct {
 	Shard   int
 	Hash    [16]byte
