--- a/internal/admit/account.go
+++ b/internal/admit/account.go
@@ -66,7 +66,7 @@
 func limitRefusal(wait time.Duration, remedy string) *effect.Refusal {
 	return &effect.Refusal{
 		Reason:     effect.ReasonLimit,
-		Ran:        effect.NotRun,
+		RunState:   effect.NotRun,
 		RetryAfter: wait,
 		Remedy:     remedy + ", or ask the operators to raise the organisation's Limits",
 	}
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -201,7 +201,7 @@
 			assert.Assert(t, st.Admit(start, "parish", org, 1000) == nil)
 			refusal := st.Admit(start, "parish", org, 1000)
 			assert.Assert(t, refusal != nil)
-			assert.Equal(t, refusal.Ran, effect.NotRun)
+			assert.Equal(t, refusal.RunState, effect.NotRun)
 			assert.Assert(t, refusal.RetryAfter > 0)
 			st.Release("parish", 1000)
 			assert.Assert(t, st.Admit(start.Add(tc.passed), "parish", org, 1000) == nil)
--- a/internal/bench/draw.go
+++ b/internal/bench/draw.go
@@ -112,7 +112,7 @@
 }
 
 // quantileCurve returns the quantiles of the times in milliseconds.
-func quantileCurve(times *load.Times) plotter.XYs {
+func quantileCurve(times *load.Distribution) plotter.XYs {
 	points := make(plotter.XYs, curvePoints)
 	for i := range points {
 		share := float64(i+1) / curvePoints
--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -47,7 +47,7 @@
 }
 
 func (cmd *engineCommand) options() stand.EngineOptions {
-	opts := stand.DefaultEngine()
+	opts := stand.DefaultEngineOptions()
 	opts.Model = cmd.Model
 	opts.MemoryTokens = cmd.MemoryTokens
 	opts.Step = cmd.Step
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -36,7 +36,7 @@
 	if cmd.Utilisation > 0 {
 		sc.Mix.Utilisation = cmd.Utilisation
 	}
-	runner := &load.Runner{Scenario: sc, Balancer: &load.Balancer{}, Tokens: map[string]string{}, HTTP: load.Client()}
+	runner := &load.Runner{Scenario: sc, Balancer: &load.Balancer{}, Tokens: map[string]string{}, HTTP: load.NewClient()}
 	defer runner.HTTP.CloseIdleConnections()
 	runner.Balancer.Set(cmd.Addresses)
 	for _, org := range sc.Organisations {
--- a/internal/bench/policy.go
+++ b/internal/bench/policy.go
@@ -83,7 +83,7 @@
 		scenarios = append(scenarios, sc)
 	}
 	for i := range cmd.Draw {
-		scenarios = append(scenarios, model.Draw(cmd.From+uint64(i)))
+		scenarios = append(scenarios, model.RandomScenario(cmd.From+uint64(i)))
 	}
 	trials := []*trial{{Name: "default", Tuning: steer.DefaultTuning()}}
 	for _, text := range cmd.Tunings {
@@ -110,7 +110,7 @@
 	for i, sc := range scenarios {
 		for seed := range cmd.Seeds {
 			group.Go(func() error {
-				known := model.Run(model.AllKnowing(sc), tr.Tuning, uint64(seed)+1)
+				known := model.Run(model.FullInformation(sc), tr.Tuning, uint64(seed)+1)
 				all[i*cmd.Seeds+seed] = bounds{tr.Results[i][seed].Whole, known.Whole, model.Bound(sc, uint64(seed)+1)}
 				return nil
 			})
--- a/internal/bench/rig.go
+++ b/internal/bench/rig.go
@@ -191,8 +191,8 @@
 }
 
 // run sends the planned requests to the deployment.
-func (rg *rig) run(ctx context.Context, plan []load.Planned) []load.Record {
-	runner := &load.Runner{Scenario: rg.sc, Balancer: &rg.balancer, Tokens: map[string]string{}, HTTP: load.Client()}
+func (rg *rig) run(ctx context.Context, plan []load.PlannedRequest) []load.Record {
+	runner := &load.Runner{Scenario: rg.sc, Balancer: &rg.balancer, Tokens: map[string]string{}, HTTP: load.NewClient()}
 	defer runner.HTTP.CloseIdleConnections()
 	for _, org := range rg.sc.Organisations {
 		runner.Tokens[org.Name] = token(org.Name)
--- a/internal/bench/slopestable.go
+++ b/internal/bench/slopestable.go
@@ -37,7 +37,7 @@
 	}
 	var tables bytes.Buffer
 	fmt.Fprintf(&tables, "Measured on %s.\n\n", ms.Machine)
-	if err := slope.WriteTables(&tables, slope.Aim(), slope.Items(slope.Aim()), &ms); err != nil {
+	if err := slope.WriteTables(&tables, slope.DesignTarget(), slope.Items(slope.DesignTarget()), &ms); err != nil {
 		return err
 	}
 	return os.WriteFile(cmd.Out, []byte(before+tablesBegin+tables.String()+tablesEnd+after), 0o644)
--- a/internal/cmds/demo.go
+++ b/internal/cmds/demo.go
@@ -124,7 +124,7 @@
 }
 
 func (dm *demo) startEngine(ctx context.Context, group *errgroup.Group, number int) error {
-	opts := stand.DefaultEngine()
+	opts := stand.DefaultEngineOptions()
 	opts.Step = 5 * time.Millisecond
 	opts.PrefillChunk = 1000
 	engine := stand.NewEngine(opts)
--- a/internal/conf/follow_test.go
+++ b/internal/conf/follow_test.go
@@ -71,7 +71,7 @@
 // start runs a follower and updates the member list of all followers.
 func (ft *fleet) start(name, domain string) *conf.Follower {
 	inst := event.Instance{Name: name, FailureDomain: domain, Peer: name}
-	fl := conf.NewFollower(conf.New(stand.NewMemory(ft.kv)), inst, func(cfg *decl.Config) {
+	fl := conf.NewFollower(conf.New(stand.NewMemoryStore(ft.kv)), inst, func(cfg *decl.Config) {
 		ft.mu.Lock()
 		defer ft.mu.Unlock()
 		assert.Check(ft.t, cfg.Version > ft.last[name], "%s went from %d to %d", name, ft.last[name], cfg.Version)
--- a/internal/conf/log_test.go
+++ b/internal/conf/log_test.go
@@ -28,7 +28,7 @@
 // newLog returns a log with count patches, and the key-value service that holds it.
 func newLog(t *testing.T, count int64) (*conf.Log, *stand.KV) {
 	kv := stand.NewKV(stand.Rates{})
-	lg := conf.New(stand.NewMemory(kv))
+	lg := conf.New(stand.NewMemoryStore(kv))
 	for base := range count {
 		_, err := lg.Submit(t.Context(), patch(fmt.Sprintf("p%d", base), base))
 		assert.NilError(t, err)
@@ -45,7 +45,7 @@
 	newest, _ := errorx.ExtractProperty(err, conf.PropertyVersion)
 	assert.Equal(t, newest, int64(3))
 	assert.ErrorContains(t, err, "maya changed /Organisations/p1; maya changed /Organisations/p2")
-	cfg, err := conf.New(stand.NewMemory(kv)).Load(t.Context())
+	cfg, err := conf.New(stand.NewMemoryStore(kv)).Load(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, len(cfg.Organisations), 3)
 }
@@ -85,7 +85,7 @@
 		won := 0
 		for i := range 10 {
 			group.Go(func() {
-				version, err := conf.New(stand.NewMemory(kv)).Submit(t.Context(), patch(fmt.Sprintf("racer%d", i), 1))
+				version, err := conf.New(stand.NewMemoryStore(kv)).Submit(t.Context(), patch(fmt.Sprintf("racer%d", i), 1))
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil {
@@ -129,7 +129,7 @@
 				_, err := lg.Read(t.Context(), 3)
 				assert.Assert(t, errorx.IsOfType(err, store.Missing), "%v", err)
 			}
-			again := conf.New(stand.NewMemory(kv))
+			again := conf.New(stand.NewMemoryStore(kv))
 			version, err := again.Submit(t.Context(), patch("mine", 2))
 			assert.NilError(t, err)
 			assert.Equal(t, version, int64(3))
@@ -146,7 +146,7 @@
 	// its write while the log advances and is trimmed. Its key is free again, so the store accepts the write; the
 	// submitter must still get a Stale error.
 	lg, kv := newLog(t, 2)
-	late := conf.New(&pausingStore{Store: stand.NewMemory(kv), meanwhile: func() {
+	late := conf.New(&pausingStore{Store: stand.NewMemoryStore(kv), meanwhile: func() {
 		for base := int64(2); base < 40; base++ {
 			_, err := lg.Submit(t.Context(), patch(fmt.Sprintf("p%d", base), base))
 			assert.NilError(t, err)
@@ -156,7 +156,7 @@
 	}})
 	_, err := late.Submit(t.Context(), patch("late", 2))
 	assert.Assert(t, errorx.IsOfType(err, conf.Stale), "%v", err)
-	cfg, err := conf.New(stand.NewMemory(kv)).Load(t.Context())
+	cfg, err := conf.New(stand.NewMemoryStore(kv)).Load(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, cfg.Version, int64(40))
 	_, ok := cfg.Organisations["late"]
@@ -171,7 +171,7 @@
 	assert.NilError(t, err)
 	whole, err := lg.Load(t.Context())
 	assert.NilError(t, err)
-	fresh := conf.New(stand.NewMemory(kv))
+	fresh := conf.New(stand.NewMemoryStore(kv))
 	cfg, err := fresh.Load(t.Context())
 	assert.NilError(t, err)
 	assert.DeepEqual(t, cfg, whole)
--- a/internal/conf/prop_test.go
+++ b/internal/conf/prop_test.go
@@ -79,7 +79,7 @@
 
 // check compares the recorded answers with the log as a new reader sees it, and describes the first difference.
 func (rs *results) check(ctx context.Context, kv *stand.KV) string {
-	lg := conf.New(stand.NewMemory(kv))
+	lg := conf.New(stand.NewMemoryStore(kv))
 	cfg, err := lg.Load(ctx)
 	if err != nil {
 		return err.Error()
@@ -128,7 +128,7 @@
 			rs := &results{accepted: map[string]int64{}, stale: map[string]bool{}}
 			var logs []*conf.Log
 			for i := range 3 {
-				lg := conf.New(&delayedStore{Store: stand.NewMemory(kv), delays: late, writes: i})
+				lg := conf.New(&delayedStore{Store: stand.NewMemoryStore(kv), delays: late, writes: i})
 				lg.SnapshotEvery, lg.KeepPatches = 2, 1
 				logs = append(logs, lg)
 			}
--- a/internal/core/arrive.go
+++ b/internal/core/arrive.go
@@ -68,7 +68,7 @@
 }
 
 func notRunRefusal(reason effect.Reason, after time.Duration, remedy string) *effect.Refusal {
-	return &effect.Refusal{Reason: reason, Ran: effect.NotRun, RetryAfter: after, Remedy: remedy}
+	return &effect.Refusal{Reason: reason, RunState: effect.NotRun, RetryAfter: after, Remedy: remedy}
 }
 
 func (st *State) enqueue(req *Request) {
--- a/internal/core/claim.go
+++ b/internal/core/claim.go
@@ -55,9 +55,9 @@
 	if outcome.Known && outcome.Truncated {
 		// The start of an answer must not be returned as the complete one.
 		st.finish(req, &effect.Refusal{
-			Reason: effect.ReasonAnswerNotKept,
-			Ran:    effect.HasRun,
-			Remedy: "the first request with this key ran and was answered; its answer was too long or too old to keep",
+			Reason:   effect.ReasonAnswerNotKept,
+			RunState: effect.HasRun,
+			Remedy:   "the first request with this key ran and was answered; its answer was too long or too old to keep",
 		})
 		return
 	}
@@ -69,16 +69,16 @@
 	if outcome.Running {
 		st.finish(req, &effect.Refusal{
 			Reason:     effect.ReasonKeyRunning,
-			Ran:        effect.Unknown,
+			RunState:   effect.Unknown,
 			RetryAfter: time.Second,
 			Remedy:     "the first request with this key is still under way; ask again for its outcome",
 		})
 		return
 	}
 	st.finish(req, &effect.Refusal{
-		Reason: effect.ReasonOutcome,
-		Ran:    effect.Unknown,
-		Remedy: "the first request with this key may have run; look at its effect before using a new key",
+		Reason:   effect.ReasonOutcome,
+		RunState: effect.Unknown,
+		Remedy:   "the first request with this key may have run; look at its effect before using a new key",
 	})
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -113,7 +113,7 @@
 				}
 			}
 			assert.Assert(t, finish.Refusal != nil)
-			assert.Equal(t, finish.Refusal.Ran, tc.ran)
+			assert.Equal(t, finish.Refusal.RunState, tc.ran)
 		})
 	}
 }
@@ -125,7 +125,7 @@
 	only[effect.Claim](t, in.arrive(event.Arrived{Service: "board", Key: "k"}))
 	in.now = in.now.Add(11 * time.Second)
 	finish := only[effect.Finish](t, in.reduce(event.Ticked{}))
-	assert.Equal(t, finish.Refusal.Ran, effect.NotRun)
+	assert.Equal(t, finish.Refusal.RunState, effect.NotRun)
 	record := only[effect.RecordOutcome](t, in.reduce(event.ClaimSettled{ID: 1, Result: event.ClaimWon}))
 	assert.Assert(t, record.Release)
 	assert.Equal(t, len(in.st.Requests), 0)
@@ -163,7 +163,7 @@
 	in := newInstance(t)
 	finish := only[effect.Finish](t, in.arrive(event.Arrived{Service: "lyric", PromptTokens: 400_000, MaxTokens: 1, Idempotent: true}))
 	assert.Equal(t, finish.Refusal.Reason, effect.ReasonPromptTooLong)
-	assert.Equal(t, finish.Refusal.Ran, effect.NotRun)
+	assert.Equal(t, finish.Refusal.RunState, effect.NotRun)
 }
 
 func TestRequestThatCannotMeetDeadlineIsRefusedOnArrival(t *testing.T) {
@@ -178,6 +178,6 @@
 	}
 	finish := only[effect.Finish](t, last)
 	assert.Equal(t, finish.Refusal.Reason, effect.ReasonOverloaded)
-	assert.Equal(t, finish.Refusal.Ran, effect.NotRun)
+	assert.Equal(t, finish.Refusal.RunState, effect.NotRun)
 	assert.Assert(t, finish.Refusal.RetryAfter >= time.Second)
 }
--- a/internal/core/finish.go
+++ b/internal/core/finish.go
@@ -41,7 +41,7 @@
 	if ran == effect.Unknown && !req.Idempotent {
 		reason = effect.ReasonOutcome
 	}
-	return &effect.Refusal{Reason: reason, Ran: ran, RetryAfter: time.Second, Remedy: remedy}
+	return &effect.Refusal{Reason: reason, RunState: ran, RetryAfter: time.Second, Remedy: remedy}
 }
 
 // finish ends a request. The refusal is nil if the request was answered or its caller has disconnected. Every admitted
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -40,7 +40,7 @@
 		wire.Gossip{Words: words},
 		wire.PermitRequest{Request: "r~1", Peer: "127.0.0.1:2", Service: "lyric", FailureDomain: "a", Tokens: 900_000, Wait: time.Second},
 		wire.PermitRequest{Request: "r~1", Service: "lyric", FailureDomain: "a", Tokens: -1, Upstreams: []string{"lyric-0", "", "x"}},
-		wire.PermitGrant{Request: "~1", Granted: true, Upstreams: []string{"nowhere"}},
+		wire.PermitDecision{Request: "~1", Granted: true, Upstreams: []string{"nowhere"}},
 		wire.PermitReturn{Request: "r~1", Service: "lyric", FailureDomain: "a"},
 		wire.PermitRenew{Requests: []string{"r~1", "r~2"}, Service: "lyric", FailureDomain: "a"},
 		wire.PermitStatus{From: "entry-0", Unknown: []string{"~1"}},
@@ -94,7 +94,7 @@
 					case effect.Send:
 						sent = true
 					case effect.Finish:
-						refused = eff.Refusal.Ran == effect.NotRun
+						refused = eff.Refusal.RunState == effect.NotRun
 					}
 				}
 			}
--- a/internal/core/quarantine.go
+++ b/internal/core/quarantine.go
@@ -38,7 +38,7 @@
 	}
 	return &effect.Refusal{
 		Reason:     effect.ReasonQuarantine,
-		Ran:        effect.NotRun,
+		RunState:   effect.NotRun,
 		RetryAfter: entry.Until.Sub(st.now),
 		Remedy:     "this content took upstreams down before; change it or tell the operators",
 	}
@@ -68,9 +68,9 @@
 	}
 	st.emit(effect.CountAndLog{Counter: "Requests.Quarantined", LogMessage: "request quarantined: upstreams broke off while running it", Subject: req.Organisation})
 	return &effect.Refusal{
-		Reason: effect.ReasonQuarantine,
-		Ran:    effect.HasRun,
-		Remedy: "it ran and took its upstream down; change it or tell the operators",
+		Reason:   effect.ReasonQuarantine,
+		RunState: effect.HasRun,
+		Remedy:   "it ran and took its upstream down; change it or tell the operators",
 	}
 }
 
--- a/internal/core/retry_test.go
+++ b/internal/core/retry_test.go
@@ -57,7 +57,7 @@
 	assert.Equal(t, finish.Refusal.Reason, effect.ReasonQuarantine)
 	resent := only[effect.Finish](t, in.arriveLyric(2, 7))
 	assert.Equal(t, resent.Refusal.Reason, effect.ReasonQuarantine)
-	assert.Equal(t, resent.Refusal.Ran, effect.NotRun)
+	assert.Equal(t, resent.Refusal.RunState, effect.NotRun)
 }
 
 func TestClosedConnectionIsNotCountedAsCrash(t *testing.T) {
@@ -156,7 +156,7 @@
 			}
 			in.now = in.now.Add(10 * time.Second)
 			finish := only[effect.Finish](t, in.reduce(event.AttemptEnded{ID: 1, Attempt: 1, Upstream: "lyric-0", Result: tc.result}))
-			assert.Equal(t, finish.Refusal.Ran, tc.ran)
+			assert.Equal(t, finish.Refusal.RunState, tc.ran)
 			assert.Equal(t, finish.Refusal.Reason, effect.ReasonDeadline)
 		})
 	}
@@ -169,7 +169,7 @@
 	only[effect.Send](t, in.arriveLyric(1, 7))
 	finish := only[effect.Finish](t, in.reduce(event.AttemptEnded{ID: 1, Attempt: 1, Upstream: "lyric-0", Result: event.ResultNotRun, Status: 400}))
 	assert.Equal(t, finish.Refusal.Reason, effect.ReasonRejected)
-	assert.Equal(t, finish.Refusal.Ran, effect.NotRun)
+	assert.Equal(t, finish.Refusal.RunState, effect.NotRun)
 }
 
 func TestCallerDisconnectsDoNotEjectUpstream(t *testing.T) {
@@ -232,7 +232,7 @@
 	finish := only[effect.Finish](t, in.reduce(event.Ticked{}))
 	assert.Equal(t, finish.ID, id)
 	assert.Equal(t, finish.Refusal.Reason, effect.ReasonDeadline)
-	assert.Equal(t, finish.Refusal.Ran, effect.NotRun)
+	assert.Equal(t, finish.Refusal.RunState, effect.NotRun)
 	items, _ := in.st.Admit.Waiting("lyric")
 	assert.Equal(t, items, 0)
 }
--- a/internal/effect/effect.go
+++ b/internal/effect/effect.go
@@ -101,8 +101,8 @@
 
 // Refusal is the failure that the caller receives instead of an answer.
 type Refusal struct {
-	Reason Reason
-	Ran    RunState
+	Reason   Reason
+	RunState RunState
 	// RetryAfter is the delay before a retry makes sense, 0 if never or unknown.
 	RetryAfter time.Duration
 	// Remedy describes in a sentence what the caller can do.
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -83,7 +83,7 @@
 	_ = cl.control.SetWriteDeadline(cl.deadline.Add(writeGrace))
 	defer func() { _ = cl.control.SetWriteDeadline(time.Time{}) }()
 	if !in.loop.Submit(ev) {
-		fromRefusal(&effect.Refusal{Reason: effect.ReasonDraining, Ran: effect.NotRun, Remedy: "send it again"}).write(cl.w)
+		fromRefusal(&effect.Refusal{Reason: effect.ReasonDraining, RunState: effect.NotRun, Remedy: "send it again"}).write(cl.w)
 		return
 	}
 	in.handleEffects(cl)
@@ -196,7 +196,7 @@
 func replay(w http.ResponseWriter, out *event.Outcome) {
 	header := w.Header()
 	header.Set("Idempotent-Replayed", "true")
-	header.Set(HeaderRan, string(effect.HasRun))
+	header.Set(HeaderRunState, string(effect.HasRun))
 	if out.ContentType != "" {
 		header.Set("Content-Type", out.ContentType)
 	}
--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -24,7 +24,7 @@
 
 // engine returns a simulated model engine. The rig runs it.
 func engine(step time.Duration) *stand.Engine {
-	opts := stand.DefaultEngine()
+	opts := stand.DefaultEngineOptions()
 	opts.Step = step
 	opts.MaxBatch = 256
 	return stand.NewEngine(opts)
@@ -101,7 +101,7 @@
 	}
 	group.Wait()
 	rg.waitEmpty()
-	for en.Used() > 0 {
+	for en.UsedTokens() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -142,7 +142,7 @@
 			detail, _ := io.ReadAll(resp.Body)
 			_ = resp.Body.Close()
 			assert.Equal(t, resp.StatusCode, tc.status, string(detail))
-			assert.Equal(t, resp.Header.Get(entry.HeaderRan), string(tc.ran), string(detail))
+			assert.Equal(t, resp.Header.Get(entry.HeaderRunState), string(tc.ran), string(detail))
 			rg.waitEmpty()
 		})
 	}
@@ -221,7 +221,7 @@
 			detail, _ := io.ReadAll(resp.Body)
 			assert.Equal(t, resp.StatusCode, tc.status, string(detail))
 			if !tc.bare {
-				assert.Equal(t, resp.Header.Get(entry.HeaderRan), string(effect.NotRun))
+				assert.Equal(t, resp.Header.Get(entry.HeaderRunState), string(effect.NotRun))
 			}
 		})
 	}
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -12,8 +12,8 @@
 
 // Names of headers in callers' requests and in answers to them.
 const (
-	// HeaderRan reports whether a refused or failed request ran: NotRun, Ran or Unknown.
-	HeaderRan = "Dandelionsail-Run"
+	// HeaderRunState reports whether a refused or failed request ran: NotRun, Ran or Unknown.
+	HeaderRunState = "Dandelionsail-Run"
 	// HeaderDeadline is the caller's deadline, as a duration such as "30s" or as an RFC 3339 time.
 	HeaderDeadline = "X-Request-Deadline"
 	// HeaderRequestID carries the request's id in the answer, for support.
@@ -70,7 +70,7 @@
 	}
 	return &apiError{
 		Status:     status,
-		RunState:   refusal.Ran,
+		RunState:   refusal.RunState,
 		RetryAfter: refusal.RetryAfter,
 		Message:    string(refusal.Reason) + ": " + refusal.Remedy,
 		Type:       kind,
@@ -93,7 +93,7 @@
 func (ae *apiError) write(w http.ResponseWriter) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
-	header.Set(HeaderRan, string(ae.RunState))
+	header.Set(HeaderRunState, string(ae.RunState))
 	if ae.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(ae.RetryAfter.Seconds()))))
 	}
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -145,7 +145,7 @@
 		// The patch may have been stored or not. Its ID makes it safe to submit it again.
 		refused.Code = "StoreUnavailable"
 		refused.Message += "; send the same request again, a patch under the same ID"
-		w.Header().Set(HeaderRan, string(effect.Unknown))
+		w.Header().Set(HeaderRunState, string(effect.Unknown))
 	}
 	writeJSON(w, status, refused)
 }
--- a/internal/entry/whole_test.go
+++ b/internal/entry/whole_test.go
@@ -97,7 +97,7 @@
 		return
 	}
 	kind := "text"
-	text := strconv.Quote(stand.Word(st.bd, token))
+	text := strconv.Quote(stand.TokenText(st.bd, token))
 	if st.bd.Chat {
 		kind = "delta"
 		text = `{"content":` + text + `}`
@@ -164,7 +164,7 @@
 	}
 	var want strings.Builder
 	for token := range tokens {
-		want.WriteString(stand.Word(bd, token))
+		want.WriteString(stand.TokenText(bd, token))
 	}
 	if got := doc.Choices[0].Text + doc.Choices[0].Message.Content; got != want.String() {
 		return "wrong: " + got
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -42,9 +42,9 @@
 	// higher fencing number, and the two must not hold the lease at the same time.
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.NewKV(stand.Rates{})
-		holderA := startHolder(t, stand.NewMemory(kv), "one")
+		holderA := startHolder(t, stand.NewMemoryStore(kv), "one")
 		time.Sleep(2 * time.Second)
-		holderB := startHolder(t, stand.NewMemory(kv), "two")
+		holderB := startHolder(t, stand.NewMemoryStore(kv), "two")
 		time.Sleep(10 * time.Second)
 		first, ok := holderA.Check("pool")
 		assert.Assert(t, ok)
@@ -65,14 +65,14 @@
 	// pool. When the process resumes, its state still lists the lease as held, but Check must report that it is not.
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.NewKV(stand.Rates{})
-		frozen := &pausingStore{Store: stand.NewMemory(kv)}
+		frozen := &pausingStore{Store: stand.NewMemoryStore(kv)}
 		old := startHolder(t, frozen, "old")
 		time.Sleep(2 * time.Second)
 		_, ok := old.Check("pool")
 		assert.Assert(t, ok)
 		frozen.pause.Store(int64(60 * time.Second))
 		time.Sleep(3 * time.Second)
-		next := startHolder(t, stand.NewMemory(kv), "next")
+		next := startHolder(t, stand.NewMemoryStore(kv), "next")
 		for range 58 {
 			_, oldHolds := old.Check("pool")
 			_, nextHolds := next.Check("pool")
@@ -89,7 +89,7 @@
 	// and acquire the lease again after the store has recovered.
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.NewKV(stand.Rates{})
-		hd := startHolder(t, stand.NewMemory(kv), "one")
+		hd := startHolder(t, stand.NewMemoryStore(kv), "one")
 		time.Sleep(2 * time.Second)
 		kv.SetFaults(stand.Faults{Outage: true})
 		time.Sleep(lease.TTL - lease.Margin)
@@ -107,7 +107,7 @@
 	// old number and must not wait for its own key to expire: it acquires the name again with a higher number.
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.NewKV(stand.Rates{})
-		hd := startHolder(t, stand.NewMemory(kv), "one")
+		hd := startHolder(t, stand.NewMemoryStore(kv), "one")
 		time.Sleep(2 * time.Second)
 		first, ok := hd.Check("pool")
 		assert.Assert(t, ok)
@@ -127,7 +127,7 @@
 	// well, another instance must be able to acquire the name.
 	synctest.Test(t, func(t *testing.T) {
 		kv := stand.NewKV(stand.Rates{})
-		hd := lease.New(stand.NewMemory(kv), "one")
+		hd := lease.New(stand.NewMemoryStore(kv), "one")
 		ctx, stop := context.WithCancel(t.Context())
 		t.Cleanup(func() {
 			stop()
@@ -148,7 +148,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		kv.SetFaults(stand.Faults{})
 		time.Sleep(2 * time.Second)
-		next := startHolder(t, stand.NewMemory(kv), "next")
+		next := startHolder(t, stand.NewMemoryStore(kv), "next")
 		time.Sleep(10 * time.Second)
 		_, ok = next.Check("pool")
 		assert.Assert(t, ok)
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -150,7 +150,7 @@
 	return Result{
 		Outcome: OutcomeRefused,
 		Status:  resp.StatusCode,
-		Ran:     resp.Header.Get(entry.HeaderRan),
+		Ran:     resp.Header.Get(entry.HeaderRunState),
 		Total:   time.Since(started),
 		Detail:  string(detail),
 	}
@@ -234,7 +234,7 @@
 		rd.result.Detail = "chunk is not a completion: " + string(data)
 		return true
 	}
-	want := stand.WordOf(rd.key, rd.result.Tokens)
+	want := stand.TokenTextOf(rd.key, rd.result.Tokens)
 	if chunk.Choices[0].Text != want {
 		rd.result.Outcome = OutcomeWrong
 		rd.result.Detail = fmt.Sprintf("token %d is %q, not %q", rd.result.Tokens, chunk.Choices[0].Text, want)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -64,7 +64,7 @@
 func TestPlanWithoutLongPromptsKeepsOthers(t *testing.T) {
 	sc := scenario(t, "sundarban")
 	with, without := load.Plan(sc, 3, true), load.Plan(sc, 3, false)
-	var kept []load.Planned
+	var kept []load.PlannedRequest
 	for _, req := range with {
 		if req.PromptTokens <= sc.Mix.SplitTokens {
 			kept = append(kept, req)
@@ -87,7 +87,7 @@
 	assert.Assert(t, flooded[sc.Organisations[4].Name] > 5*calm[sc.Organisations[4].Name])
 }
 
-func count(plan []load.Planned) map[string]int {
+func count(plan []load.PlannedRequest) map[string]int {
 	sent := map[string]int{}
 	for _, req := range plan {
 		sent[req.Organisation]++
@@ -107,7 +107,7 @@
 	// The sender's machine stalls, so a request is sent after its planned time. A latency measured from the send would
 	// hide the stall, so it is measured from the planned time, and the late send is counted as well.
 	rc := load.Record{
-		Planned: load.Planned{PromptTokens: 1000, Answer: 1, Deadline: time.Second},
+		Planned: load.PlannedRequest{PromptTokens: 1000, Answer: 1, Deadline: time.Second},
 		Result:  load.Result{Outcome: load.OutcomeWhole, FirstToken: 100 * time.Millisecond, Total: 200 * time.Millisecond},
 		Late:    900 * time.Millisecond,
 	}
@@ -121,7 +121,7 @@
 
 func TestSummariesMerge(t *testing.T) {
 	refused := load.Record{
-		Planned: load.Planned{PromptTokens: 1000, Deadline: time.Second},
+		Planned: load.PlannedRequest{PromptTokens: 1000, Deadline: time.Second},
 		Result:  load.Result{Outcome: load.OutcomeRefused, Ran: "NotRun", Total: 80 * time.Millisecond},
 	}
 	sm := load.Summarise([]load.Record{refused})
@@ -135,9 +135,9 @@
 func TestRunIsOpenLoop(t *testing.T) {
 	// The server answers only after all requests of the run have arrived, so a closed loop would never end.
 	sc := scenario(t, "sreekovil")
-	plan := make([]load.Planned, 8)
+	plan := make([]load.PlannedRequest, 8)
 	for i := range plan {
-		plan[i] = load.Planned{Plain: true, Key: uint64(i), Deadline: 10 * time.Second, Organisation: "cathedral"}
+		plan[i] = load.PlannedRequest{Plain: true, Key: uint64(i), Deadline: 10 * time.Second, Organisation: "cathedral"}
 	}
 	arrived := make(chan struct{}, len(plan))
 	all := make(chan struct{})
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Planned is one planned request.
-type Planned struct {
+// PlannedRequest is one planned request.
+type PlannedRequest struct {
 	// At is the time to send it, from the start of the run.
 	At           time.Duration
 	Organisation string
@@ -34,17 +34,17 @@
 type planner struct {
 	sc   *Scenario
 	seed uint64
-	plan []Planned
+	plan []PlannedRequest
 }
 
 // Plan returns the requests of a run in the order of time. The same scenario and seed give the same requests. Without the
 // long prompts the other requests are unchanged.
-func Plan(sc *Scenario, seed uint64, withLong bool) []Planned {
+func Plan(sc *Scenario, seed uint64, withLong bool) []PlannedRequest {
 	pl := &planner{sc: sc, seed: seed}
 	pl.completions(withLong)
 	pl.floods()
 	pl.plain()
-	slices.SortStableFunc(pl.plan, func(a, b Planned) int { return int(a.At - b.At) })
+	slices.SortStableFunc(pl.plan, func(a, b PlannedRequest) int { return int(a.At - b.At) })
 	return pl.plan
 }
 
@@ -81,7 +81,7 @@
 func (pl *planner) plain() {
 	random := rand.New(rand.NewPCG(pl.seed, streamPlain))
 	for _, at := range pl.times(random, pl.sc.Plain.PerSecond) {
-		pl.plan = append(pl.plan, Planned{
+		pl.plan = append(pl.plan, PlannedRequest{
 			At:           at,
 			Organisation: pl.sc.Organisations[pl.organisation(random)].Name,
 			Plain:        true,
@@ -141,12 +141,12 @@
 	return len(pl.sc.Organisations) - 1
 }
 
-func (pl *planner) completion(random *rand.Rand, at time.Duration, org int) Planned {
+func (pl *planner) completion(random *rand.Rand, at time.Duration, org int) PlannedRequest {
 	mx := pl.sc.Mix
 	// Each request takes the same number of random values, so that the following requests don't depend on its kind.
 	long, length, answer := random.Float64() < mx.LongShare, random.Float64(), random.Float64()
 	inSession, session, content := random.Float64() < mx.SessionShare, random.IntN(max(1, mx.Sessions)), random.Uint64()
-	req := Planned{
+	req := PlannedRequest{
 		At:           at,
 		Organisation: pl.sc.Organisations[org].Name,
 		PromptTokens: logUniform(length, mx.MinTokens, mx.SplitTokens),
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -43,7 +43,7 @@
 
 // Record is the result of one planned request.
 type Record struct {
-	Planned Planned
+	Planned PlannedRequest
 	Result  Result
 	// Late is the delay of the send. Latencies are measured from the planned time.
 	Late time.Duration
@@ -63,13 +63,13 @@
 	HTTP   *http.Client
 }
 
-// Client returns an HTTP client that keeps enough idle connections for a run.
-func Client() *http.Client {
+// NewClient returns an HTTP client that keeps enough idle connections for a run.
+func NewClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, WriteBufferSize: 64 << 10}}
 }
 
 // Run sends the requests and returns their records after all have ended.
-func (ru *Runner) Run(ctx context.Context, plan []Planned) []Record {
+func (ru *Runner) Run(ctx context.Context, plan []PlannedRequest) []Record {
 	records := make([]Record, len(plan))
 	var group sync.WaitGroup
 	start := time.Now().Add(2 * prepareTime)
@@ -96,7 +96,7 @@
 	}
 }
 
-func (ru *Runner) send(ctx context.Context, req Planned, at time.Time) Record {
+func (ru *Runner) send(ctx context.Context, req PlannedRequest, at time.Time) Record {
 	limited, cancel := context.WithDeadline(ctx, at.Add(req.Deadline+grace))
 	defer cancel()
 	if req.Plain {
@@ -111,14 +111,14 @@
 	return Record{Planned: req, Late: late, Result: ru.caller(req).Send(limited, cm)}
 }
 
-func (ru *Runner) caller(req Planned) *Caller {
+func (ru *Runner) caller(req PlannedRequest) *Caller {
 	return &Caller{
 		Address: ru.Balancer.pick(req.Instance), Token: ru.Tokens[req.Organisation], HTTP: ru.HTTP, Deadline: req.Deadline,
 	}
 }
 
 // call sends one non-idempotent call with its idempotency key.
-func (ru *Runner) call(ctx context.Context, req Planned, at time.Time) Record {
+func (ru *Runner) call(ctx context.Context, req PlannedRequest, at time.Time) Record {
 	sleepUntil(ctx, at)
 	rc := Record{Planned: req, Late: time.Since(at)}
 	header := http.Header{upstr.HeaderKey: {strconv.FormatUint(req.Key, 36)}}
@@ -136,7 +136,7 @@
 	}
 	_, err = io.Copy(io.Discard, resp.Body)
 	rc.Result = Result{Outcome: OutcomeWhole, Status: resp.StatusCode, FirstToken: time.Since(started), Total: time.Since(started)}
-	rc.Result.Ran = resp.Header.Get(entry.HeaderRan)
+	rc.Result.Ran = resp.Header.Get(entry.HeaderRunState)
 	if err != nil {
 		rc.Result.Outcome = OutcomeShort
 		rc.Result.Detail = err.Error()
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -18,31 +18,31 @@
 // maxTracked is the maximum time in the histograms, in microseconds.
 const maxTracked = int64(10 * time.Minute / time.Microsecond)
 
-// Times is a distribution of times, in microseconds.
-type Times struct{ hist *hdrhistogram.Histogram }
+// Distribution is a distribution of times, in microseconds.
+type Distribution struct{ hist *hdrhistogram.Histogram }
 
-// NewTimes returns an empty distribution with two significant digits.
-func NewTimes() *Times {
-	return &Times{hist: hdrhistogram.New(1, maxTracked, 2)}
+// NewDistribution returns an empty distribution with two significant digits.
+func NewDistribution() *Distribution {
+	return &Distribution{hist: hdrhistogram.New(1, maxTracked, 2)}
 }
 
 // Add adds a time.
-func (ts *Times) Add(period time.Duration) {
+func (ts *Distribution) Add(period time.Duration) {
 	_ = ts.hist.RecordValue(min(max(1, period.Microseconds()), maxTracked))
 }
 
 // Merge adds another distribution.
-func (ts *Times) Merge(other *Times) {
+func (ts *Distribution) Merge(other *Distribution) {
 	ts.hist.Merge(other.hist)
 }
 
 // Count returns the number of times in the distribution.
-func (ts *Times) Count() int64 {
+func (ts *Distribution) Count() int64 {
 	return ts.hist.TotalCount()
 }
 
 // Quantile returns the quantile for a share from 0 to 1, or 0 if the distribution is empty.
-func (ts *Times) Quantile(share float64) time.Duration {
+func (ts *Distribution) Quantile(share float64) time.Duration {
 	return time.Duration(ts.hist.ValueAtQuantile(100*share)) * time.Microsecond
 }
 
@@ -69,13 +69,13 @@
 // Group holds the measurements of a group of requests.
 type Group struct {
 	Counts
-	FirstToken *Times
+	FirstToken *Distribution
 	// Refusal is the distribution of the time to a refusal.
-	Refusal *Times
+	Refusal *Distribution
 }
 
 func newGroup() *Group {
-	return &Group{FirstToken: NewTimes(), Refusal: NewTimes()}
+	return &Group{FirstToken: NewDistribution(), Refusal: NewDistribution()}
 }
 
 // Merge adds another group.
--- a/internal/model/bound.go
+++ b/internal/model/bound.go
@@ -66,7 +66,7 @@
 		}
 		at := ms(wd.now.Sub(epoch))
 		demands = append(demands, promptDemand{
-			time:  sc.Engine.Reading(cl.prompt, 1).Alone(&sc.Engine),
+			time:  sc.Engine.PrefillWork(cl.prompt, 1).AloneTime(&sc.Engine),
 			first: int(at / boundSlot), last: int((at + cl.class.Goal) / boundSlot),
 			worth: cl.worth, late: cl.class.LateWorth / cl.class.Worth,
 		})
@@ -128,9 +128,9 @@
 	return true
 }
 
-// AllKnowing returns the scenario with a single instance and almost no delay. Its result is what the same decisions earn
+// FullInformation returns the scenario with a single instance and almost no delay. Its result is what the same decisions earn
 // if no information is late or missing.
-func AllKnowing(sc *Scenario) *Scenario {
+func FullInformation(sc *Scenario) *Scenario {
 	ideal := *sc
 	ideal.Name += ", all known"
 	ideal.Instances, ideal.NoteDelay, ideal.NoteLoss = 1, 0.01, 0
--- a/internal/model/caller.go
+++ b/internal/model/caller.go
@@ -135,7 +135,7 @@
 		cl.wd.result.Again += cl.worth
 		cl.finish(outcomeRefused)
 	case fin.Refusal != nil || fin.DeliverFailure:
-		if cl.requests == 1 && cl.route.Repeats != decl.RepeatsNone {
+		if cl.requests == 1 && cl.route.Repeats != decl.RetryNone {
 			cl.wd.after(1, cl.sendRequest)
 			return
 		}
@@ -153,7 +153,7 @@
 	if cl.done {
 		return
 	}
-	if cl.requests > 1 || cl.route.Repeats == decl.RepeatsNone {
+	if cl.requests > 1 || cl.route.Repeats == decl.RetryNone {
 		cl.finish(outcomeFailed)
 		return
 	}
--- a/internal/model/draw.go
+++ b/internal/model/draw.go
@@ -8,10 +8,10 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// Draw returns a random deployment. It varies the number of engines and their speed, memory and slots, the mix of
+// RandomScenario returns a random deployment. It varies the number of engines and their speed, memory and slots, the mix of
 // lengths, the goals and worths, the instances, failure domains and bursts. Random deployments reveal policies that fit
 // only one deployment.
-func Draw(seed uint64) *Scenario {
+func RandomScenario(seed uint64) *Scenario {
 	random := rand.New(rand.NewPCG(seed, 77))
 	between := func(low, high float64) float64 { return low * math.Exp(random.Float64()*math.Log(high/low)) }
 	whole := func(low, high float64) int { return int(math.Round(between(low, high))) }
@@ -45,10 +45,10 @@
 	worth := between(0.5, 3)
 	for i, mean := range means {
 		eng := &sc.Engine
-		alone := eng.Reading(int64(mean), 1).Alone(eng)
+		alone := eng.PrefillWork(int64(mean), 1).AloneTime(eng)
 		cls := Class{
 			Name: names[i], PerSecond: between(0.6, 1.6), MeanPrompt: mean, Spread: between(0.3, 0.9), MeanEvents: between(8, 40),
-			EventSpread: between(0.3, 0.7), Timeout: 10_000, Attempts: 2, Repeats: decl.RepeatsResumed, Worth: worth,
+			EventSpread: between(0.3, 0.7), Timeout: 10_000, Attempts: 2, Repeats: decl.RetryResumed, Worth: worth,
 		}
 		cls.MaxPrompt = mean * between(2.5, 5)
 		cls.MaxEvents = cls.MeanEvents * between(2, 4)
@@ -63,8 +63,8 @@
 	sc.Classes[0].PerSecond *= 25
 	sc.Classes[1].PerSecond *= 1.6
 	sc.Classes = append(sc.Classes,
-		Class{Name: "order", PerSecond: 3, Work: 15, ErrorShare: 0.005, Goal: 100, Timeout: 600, Attempts: 1, Repeats: decl.RepeatsNone, Worth: 1, LateWorth: 0.3},
-		Class{Name: "lookup", PerSecond: 3, Work: 15, ErrorShare: 0.1, Goal: 100, Timeout: 600, Attempts: 2, Repeats: decl.RepeatsAny, Worth: 1, LateWorth: 0.3})
+		Class{Name: "order", PerSecond: 3, Work: 15, ErrorShare: 0.005, Goal: 100, Timeout: 600, Attempts: 1, Repeats: decl.RetryNone, Worth: 1, LateWorth: 0.3},
+		Class{Name: "lookup", PerSecond: 3, Work: 15, ErrorShare: 0.1, Goal: 100, Timeout: 600, Attempts: 2, Repeats: decl.RetryAny, Worth: 1, LateWorth: 0.3})
 }
 
 // scale sets the rates of the prompts so that prefill and decode use the given share of all engines' time on average.
@@ -87,7 +87,7 @@
 // follows from the spread, and its share of the passes that decode its answer.
 func (sc *Scenario) cost(cls *Class) float64 {
 	eng := &sc.Engine
-	rd := eng.Reading(int64(cls.MeanPrompt), 1)
+	rd := eng.PrefillWork(int64(cls.MeanPrompt), 1)
 	linear := cls.MeanPrompt / eng.ReadRate
 	pairs := (rd.Time - linear) * math.Exp(cls.Spread*cls.Spread)
 	write := cls.MeanEvents * float64(eng.Stride) * eng.StepTime(eng.Slots, 0) / float64(eng.Slots)
--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -62,7 +62,7 @@
 	eng     *engine
 	attempt *attempt
 	help    bool
-	left    decl.Reading
+	left    decl.PrefillWork
 }
 
 // enqueue adds an attempt, which waits until a slot and enough memory are free.
@@ -127,7 +127,7 @@
 		}
 		length += pt.left.Time * share
 		steps -= pt.left.Steps * share
-		pt.left = pt.left.Times(1 - share)
+		pt.left = pt.left.Scale(1 - share)
 		if share == 1 {
 			done = append(done, pt)
 		}
--- a/internal/model/instance.go
+++ b/internal/model/instance.go
@@ -97,7 +97,7 @@
 	count := len(eff.Helpers) + 1
 	att.context = req.call.prompt / int64(count)
 	att.unread = count
-	whole := in.wd.sc.Engine.Reading(req.call.prompt, count)
+	whole := in.wd.sc.Engine.PrefillWork(req.call.prompt, count)
 	att.parts = append(att.parts, &part{eng: en, attempt: att, left: whole})
 	for _, helper := range eff.Helpers {
 		att.tokens -= helper.Tokens
@@ -136,7 +136,7 @@
 func (in *instance) reservationFailed(att *attempt, full string) {
 	if req, ok := in.requests[att.send.ID]; ok && req.attempt == att && !att.ended {
 		att.ended = true
-		in.reduce(steer.AttemptEnded{ID: req.id, Attempt: att.send.Attempt, Result: steer.ResultNotRun, FaultAt: full})
+		in.reduce(steer.AttemptEnded{ID: req.id, Attempt: att.send.Attempt, Result: steer.ResultNotRun, FaultyReplica: full})
 	}
 }
 
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -44,7 +44,7 @@
 	sc.Classes = sc.Classes[:1]
 	sc.Classes[0].PerSecond, sc.Classes[0].Spread, sc.Classes[0].MeanPrompt = 0.2, 0, 5000
 	res := model.Run(sc, steer.DefaultTuning(), 1)
-	alone := sc.Engine.Reading(5000, 1).Alone(&sc.Engine) + sc.Engine.Step + 3*sc.NoteDelay
+	alone := sc.Engine.PrefillWork(5000, 1).AloneTime(&sc.Engine) + sc.Engine.Step + 3*sc.NoteDelay
 	assert.Assert(t, res.Classes[0].P50 > alone-3 && res.Classes[0].P50 < alone+3, "%v, estimated %v", res.Classes[0].P50, alone)
 }
 
@@ -52,7 +52,7 @@
 	// A call that ends twice or never would distort every share. Each caller has exactly one outcome in random
 	// deployments, also with an outage of all instances.
 	for seed := range uint64(6) {
-		sc := model.Draw(seed + 1)
+		sc := model.RandomScenario(seed + 1)
 		assert.NilError(t, sc.Check())
 		sc.Outages = []model.Outage{{At: 10, For: 1}}
 		res := model.Run(sc, steer.DefaultTuning(), seed)
--- a/internal/model/scenario.go
+++ b/internal/model/scenario.go
@@ -68,7 +68,7 @@
 	// Timeout is the route's timeout in ms.
 	Timeout  float64
 	Attempts int
-	Repeats  decl.Repeats
+	Repeats  decl.RetryPolicy
 	// Worth is what a mean answer in time earns.
 	Worth float64
 	// LateWorth is what a mean late answer earns.
@@ -128,7 +128,7 @@
 		if cls.MeanPrompt > 0 && (sc.Engines == 0 || min(cls.MeanEvents, cls.MaxEvents) <= 0) || cls.MeanPrompt == 0 && sc.Plain == 0 {
 			return BadScenario.New("model: class %q of %s has no replicas or no events; set Engines, MeanEvents and MaxEvents for prompts or Plain for plain calls", cls.Name, sc.Name)
 		}
-		if cls.Repeats != decl.RepeatsNone && cls.Repeats != decl.RepeatsAny && cls.Repeats != decl.RepeatsResumed {
+		if cls.Repeats != decl.RetryNone && cls.Repeats != decl.RetryAny && cls.Repeats != decl.RetryResumed {
 			return BadScenario.New("model: class %q of %s has Repeats %q; set None, Any or Resumed", cls.Name, sc.Name, cls.Repeats)
 		}
 		names[cls.Name] = true
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -117,7 +117,7 @@
 
 func (in *instance) start(seed uint64) {
 	ctx, stop := context.WithCancel(in.cl.ctx)
-	in.st = &flakyStore{Store: stand.NewMemory(in.cl.kv), random: rand.New(rand.NewPCG(seed, 2))}
+	in.st = &flakyStore{Store: stand.NewMemoryStore(in.cl.kv), random: rand.New(rand.NewPCG(seed, 2))}
 	claims := once.New(in.st, in.name)
 	claims.Transport = in.cl
 	claims.SealAt(in.cl.sealAt)
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -165,7 +165,7 @@
 		waiting := map[int]bool{}
 		var holders []*order.LoadLimiter
 		for i := range 10 {
-			holders = append(holders, order.NewLoadLimiter(stand.NewMemory(kv), fmt.Sprintf("entry-%d", i), 6))
+			holders = append(holders, order.NewLoadLimiter(stand.NewMemoryStore(kv), fmt.Sprintf("entry-%d", i), 6))
 			waiting[i] = true
 		}
 		for len(waiting) > 0 {
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -163,7 +163,7 @@
 	}
 	engines := co.Engines(pl.key)
 	if !fits(engines, ev.Tokens) || len(pl.queue) >= maxQueue {
-		co.answer(ev, wire.PermitGrant{RetryAfter: ReservationTTL})
+		co.answer(ev, wire.PermitDecision{RetryAfter: ReservationTTL})
 		return
 	}
 	if pl.findQueued(ev.Request) == nil {
@@ -171,7 +171,7 @@
 	}
 	co.scanQueue(pl, engines)
 	if pl.findQueued(ev.Request) != nil {
-		co.answer(ev, wire.PermitGrant{Queued: true})
+		co.answer(ev, wire.PermitDecision{Queued: true})
 	}
 }
 
@@ -201,10 +201,10 @@
 }
 
 func (co *Coordinator) grant(rv *Reservation) {
-	co.answer(rv.PermitRequested, wire.PermitGrant{Granted: true, Upstreams: rv.Upstreams, Lasts: rv.Until.Sub(co.now)})
+	co.answer(rv.PermitRequested, wire.PermitDecision{Granted: true, Upstreams: rv.Upstreams, Lasts: rv.Until.Sub(co.now)})
 }
 
-func (co *Coordinator) answer(req event.PermitRequested, msg wire.PermitGrant) {
+func (co *Coordinator) answer(req event.PermitRequested, msg wire.PermitDecision) {
 	msg.From = co.Self
 	msg.Request = req.Request
 	msg.Service = req.Service
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -48,7 +48,7 @@
 	granted := map[string][]string{}
 	for _, eff := range effects {
 		if send, ok := eff.(effect.SendToPeer); ok {
-			if msg, ok := send.Message.(wire.PermitGrant); ok && msg.Granted {
+			if msg, ok := send.Message.(wire.PermitDecision); ok && msg.Granted {
 				granted[msg.Request] = msg.Upstreams
 			}
 		}
@@ -219,7 +219,7 @@
 			cl.deliver(cl.cos[send.Address].Reduce(cl.now, event.PermitRenewed(msg)))
 		case wire.PermitReturn:
 			cl.deliver(cl.cos[send.Address].Reduce(cl.now, event.PermitReturned(msg)))
-		case wire.PermitGrant:
+		case wire.PermitDecision:
 			if msg.Granted && cl.lostGrants > 0 {
 				cl.lostGrants--
 				continue
@@ -324,7 +324,7 @@
 	names := []string{"lyric-assist-0123", "lyric-assist-0124", "lyric-assist-0125"}
 	messages := map[string]wire.Message{
 		"Ask":    req,
-		"Grant":  wire.PermitGrant{From: "entry-012", Request: request, Service: "lyric", FailureDomain: "south-a", Granted: true, Upstreams: names, Lasts: permit.ReservationTTL},
+		"Grant":  wire.PermitDecision{From: "entry-012", Request: request, Service: "lyric", FailureDomain: "south-a", Granted: true, Upstreams: names, Lasts: permit.ReservationTTL},
 		"Return": wire.PermitReturn{Request: request, Service: "lyric", FailureDomain: "south-a"},
 		"Renew":  wire.PermitRenew{Holder: "entry-012", Incarnation: 1 << 50, Peer: "10.0.0.1:8081", Service: "lyric", FailureDomain: "south-a", Requests: []string{request}},
 		"State":  wire.PermitStatus{From: "entry-012"},
--- a/internal/proof/callers.go
+++ b/internal/proof/callers.go
@@ -181,7 +181,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	detail, err := io.ReadAll(resp.Body)
 	att.Result = load.Result{
-		Outcome: load.OutcomeRefused, Status: resp.StatusCode, Ran: resp.Header.Get(entry.HeaderRan),
+		Outcome: load.OutcomeRefused, Status: resp.StatusCode, Ran: resp.Header.Get(entry.HeaderRunState),
 		Total: time.Since(att.at), Detail: string(detail),
 	}
 	switch {
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -116,7 +116,7 @@
 	att.timer = time.AfterFunc(limit, func() { att.checkSilence(watched, cancel) })
 	defer att.timer.Stop()
 	if refusedBy, ok := att.reserve(watched); !ok {
-		att.ended.FaultAt = refusedBy
+		att.ended.FaultyReplica = refusedBy
 		return steer.ResultNotRun
 	}
 	defer att.release()
@@ -226,7 +226,7 @@
 		Priority: att.eff.Priority, After: cl.lastEventID,
 	}
 	for i, helper := range att.eff.Helpers {
-		fi.Helpers = append(fi.Helpers, ForwardHelper{Address: helper.Address, Ticket: att.reservationID(i)})
+		fi.Helpers = append(fi.Helpers, ForwardHelper{Address: helper.Address, ReservationID: att.reservationID(i)})
 	}
 	att.in.protocol.SetHeaders(req.Header, fi)
 	return req
@@ -256,7 +256,7 @@
 
 func (att *attempt) receive(ctx context.Context, resp *http.Response, ri ResponseInfo) steer.Result {
 	att.ended.Status = resp.StatusCode
-	att.ended.FaultAt = ri.FaultyReplica
+	att.ended.FaultyReplica = ri.FaultyReplica
 	if ri.Name != att.cl.info.Name && ri.Name != "" {
 		// This is a late response to an earlier request on a reused connection.
 		return steer.ResultBroken
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -70,7 +70,7 @@
 	if !in.readBody(cl) {
 		return
 	}
-	timeout := cl.info.Patience
+	timeout := cl.info.StatedTimeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
@@ -141,7 +141,7 @@
 	return steer.Arrived{
 		ID: cl.id, Route: cl.route, Name: cl.info.Name, Organisation: cl.org, Priority: priority,
 		Prompt: cl.info.Prompt, Answer: cl.info.Answer, Deadline: cl.deadline, LeavesAt: callerLeavesAt(cl.route, cl.arrived, cl.deadline),
-		Digest: cl.digest(), StatedTimeout: cl.info.Patience,
+		Digest: cl.digest(), StatedTimeout: cl.info.StatedTimeout,
 	}
 }
 
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -113,8 +113,8 @@
 	Name string
 	// Token is the caller's access token, empty if it sent none.
 	Token string
-	// Patience is the timeout that the caller stated for the response, 0 if it stated none.
-	Patience time.Duration
+	// StatedTimeout is the timeout that the caller stated for the response, 0 if it stated none.
+	StatedTimeout time.Duration
 	// Prompt is the length of the prompt in tokens.
 	Prompt int64
 	// Answer is the maximum length of the response in tokens.
@@ -141,7 +141,7 @@
 
 // ForwardHelper is a replica that processes a part of the prompt. Ticket is the ID of its reservation, empty if it has
 // none.
-type ForwardHelper struct{ Address, Ticket string }
+type ForwardHelper struct{ Address, ReservationID string }
 
 // ResponseInfo is the information in a replica's response headers.
 type ResponseInfo struct {
--- a/internal/slope/capacity.go
+++ b/internal/slope/capacity.go
@@ -28,8 +28,8 @@
 	StoreReads float64
 }
 
-// Aim returns the size for which the system is designed.
-func Aim() Target {
+// DesignTarget returns the size for which the system is designed.
+func DesignTarget() Target {
 	return Target{
 		Instances:         430,
 		Replicas:          12000,
--- a/internal/slope/network.go
+++ b/internal/slope/network.go
@@ -88,7 +88,7 @@
 }
 
 func reportBytes(ctx context.Context) (float64, error) {
-	engine := stand.NewEngine(stand.DefaultEngine())
+	engine := stand.NewEngine(stand.DefaultEngineOptions())
 	counted, stop, err := serveCounted(engine.Handler())
 	if err != nil {
 		return 0, err
--- a/internal/slope/permits.go
+++ b/internal/slope/permits.go
@@ -98,7 +98,7 @@
 	request := "entry-012.5f3k2a9c1d-3f"
 	once := []wire.Message{
 		wire.PermitRequest(newPermitAsked(request, 1_000_000)),
-		wire.PermitGrant{
+		wire.PermitDecision{
 			From: "entry-012", Request: request, Service: "lyric", FailureDomain: "south-a", Granted: true,
 			Upstreams: []string{"lyric-assist-0123", "lyric-assist-0124"}, Lasts: permit.ReservationTTL,
 		},
--- a/internal/slope/slope_test.go
+++ b/internal/slope/slope_test.go
@@ -38,7 +38,7 @@
 	ms := &slope.Measured{}
 	ms.Put(slope.Series{Name: "Known", Unit: "B/s", Samples: []slope.Sample{{Size: 1, Value: 75}}, Command: "measure it"})
 	var out strings.Builder
-	assert.NilError(t, slope.WriteTables(&out, slope.Aim(), items, ms))
+	assert.NilError(t, slope.WriteTables(&out, slope.DesignTarget(), items, ms))
 	assert.Assert(t, strings.Contains(out.String(), "| Network | probes | 150 B/s |"), out.String())
 	assert.Assert(t, strings.Contains(out.String(), "| Network | digests | not measured |"), out.String())
 	assert.Assert(t, strings.Contains(out.String(), "network 150 B/s, 5% of 3000 B/s (1 parts not measured)"), out.String())
--- a/internal/stand/engine.go
+++ b/internal/stand/engine.go
@@ -54,9 +54,9 @@
 	Seed uint64
 }
 
-// DefaultEngine returns the options of an engine of medium speed. It prefills 20,000 prompt tokens per second and decodes
+// DefaultEngineOptions returns the options of an engine of medium speed. It prefills 20,000 prompt tokens per second and decodes
 // 50 answer tokens per second for each request.
-func DefaultEngine() EngineOptions {
+func DefaultEngineOptions() EngineOptions {
 	return EngineOptions{
 		Model:        "lyric",
 		MemoryTokens: 400_000,
@@ -179,8 +179,8 @@
 	return en.opts.Step
 }
 
-// Used returns the memory that requests and exports hold, in tokens. Shared cache blocks are counted once.
-func (en *Engine) Used() int64 {
+// UsedTokens returns the memory that requests and exports hold, in tokens. Shared cache blocks are counted once.
+func (en *Engine) UsedTokens() int64 {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.usedTokens()
--- a/internal/stand/engine_api.go
+++ b/internal/stand/engine_api.go
@@ -173,19 +173,19 @@
 	return fingerprint(bd.PromptBytes())
 }
 
-// Word returns the text of the answer's token with the given index. It contains the prompt's fingerprint, so that a reader
+// TokenText returns the text of the answer's token with the given index. It contains the prompt's fingerprint, so that a reader
 // can check which request an answer belongs to.
-func Word(bd *body.Body, token int64) string {
-	return WordOf(Fingerprint(bd), token)
+func TokenText(bd *body.Body, token int64) string {
+	return TokenTextOf(Fingerprint(bd), token)
 }
 
-// WordOf is like Word, for a prompt with the given fingerprint.
-func WordOf(key uint32, token int64) string {
+// TokenTextOf is like Word, for a prompt with the given fingerprint.
+func TokenTextOf(key uint32, token int64) string {
 	return fmt.Sprintf("%08x.%d ", key, token)
 }
 
 func writeToken(w io.Writer, jb *job, bd *body.Body, token int64) {
-	text := WordOf(jb.promptHash, token)
+	text := TokenTextOf(jb.promptHash, token)
 	choice := fmt.Sprintf(`{"index":0,"text":%q,"finish_reason":null}`, text)
 	if bd.Chat {
 		choice = fmt.Sprintf(`{"index":0,"delta":{"content":%q},"finish_reason":null}`, text)
--- a/internal/stand/engine_test.go
+++ b/internal/stand/engine_test.go
@@ -26,7 +26,7 @@
 }
 
 func startEngine(t *testing.T, change func(*stand.EngineOptions)) *engineBench {
-	opts := stand.DefaultEngine()
+	opts := stand.DefaultEngineOptions()
 	opts.Step = time.Millisecond
 	opts.CachePeriod = time.Millisecond
 	opts.CacheLag = time.Millisecond
--- a/internal/stand/memory.go
+++ b/internal/stand/memory.go
@@ -7,9 +7,9 @@
 	"dandelionsail.example/dandelionsail/internal/store"
 )
 
-// Memory is a store.Store that calls the key-value service without a network connection but with the same faults. It is for
+// MemoryStore is a store.Store that calls the key-value service without a network connection but with the same faults. It is for
 // tests with a paused clock.
-type Memory struct {
+type MemoryStore struct {
 	// KV is the service. Several Memory values may share it, as several instances share one service.
 	KV *KV
 	// Partitioned, unless nil, reports whether a network partition cuts this caller off. Its calls then end without an answer
@@ -17,15 +17,15 @@
 	Partitioned func() bool
 }
 
-// NewMemory returns a client of the service.
-func NewMemory(kv *KV) *Memory {
-	return &Memory{KV: kv}
+// NewMemoryStore returns a client of the service.
+func NewMemoryStore(kv *KV) *MemoryStore {
+	return &MemoryStore{KV: kv}
 }
 
-var _ store.Store = (*Memory)(nil)
+var _ store.Store = (*MemoryStore)(nil)
 
 // callKV runs one call and converts an error status to an error of package store.
-func callKV[Request, Answer any](ctx context.Context, mm *Memory, kind string, run func(Request) (Answer, *store.Status), request Request) (Answer, error) {
+func callKV[Request, Answer any](ctx context.Context, mm *MemoryStore, kind string, run func(Request) (Answer, *store.Status), request Request) (Answer, error) {
 	var none Answer
 	if mm.Partitioned != nil && mm.Partitioned() {
 		return none, errNoAnswer
@@ -46,7 +46,7 @@
 }
 
 // Get implements store.Store.
-func (mm *Memory) Get(ctx context.Context, key string) (store.Pair, error) {
+func (mm *MemoryStore) Get(ctx context.Context, key string) (store.Pair, error) {
 	answer, err := callKV(ctx, mm, "Range", mm.KV.readRange, store.RangeRequest{Key: []byte(key)})
 	if err != nil {
 		return store.Pair{}, err
@@ -62,7 +62,7 @@
 }
 
 // List implements store.Store.
-func (mm *Memory) List(ctx context.Context, prefix, from string, limit int) ([]store.Pair, error) {
+func (mm *MemoryStore) List(ctx context.Context, prefix, from string, limit int) ([]store.Pair, error) {
 	request := store.RangeRequest{Key: []byte(max(prefix, from)), RangeEnd: store.RangeEnd(prefix), Limit: int64(limit)}
 	answer, err := callKV(ctx, mm, "Range", mm.KV.readRange, request)
 	if err != nil {
@@ -76,7 +76,7 @@
 }
 
 // Swap implements store.Store.
-func (mm *Memory) Swap(ctx context.Context, key string, value []byte, revision int64, lease store.LeaseID) (store.Pair, error) {
+func (mm *MemoryStore) Swap(ctx context.Context, key string, value []byte, revision int64, lease store.LeaseID) (store.Pair, error) {
 	put := &store.PutRequest{Key: []byte(key), Value: value, Lease: int64(lease)}
 	answer, err := mm.txn(ctx, key, revision, store.Op{Put: put})
 	if err != nil {
@@ -86,12 +86,12 @@
 }
 
 // Delete implements store.Store.
-func (mm *Memory) Delete(ctx context.Context, key string, revision int64) error {
+func (mm *MemoryStore) Delete(ctx context.Context, key string, revision int64) error {
 	_, err := mm.txn(ctx, key, revision, store.Op{Delete: &store.DeleteRequest{Key: []byte(key)}})
 	return err
 }
 
-func (mm *Memory) txn(ctx context.Context, key string, revision int64, op store.Op) (store.TxnResponse, error) {
+func (mm *MemoryStore) txn(ctx context.Context, key string, revision int64, op store.Op) (store.TxnResponse, error) {
 	request := store.TxnRequest{
 		Compare: []store.Compare{{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRevision: revision}},
 		Success: []store.Op{op},
@@ -104,14 +104,14 @@
 }
 
 // Grant implements store.Store.
-func (mm *Memory) Grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
+func (mm *MemoryStore) Grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
 	answer, err := callKV(ctx, mm, "Grant", mm.KV.grant, store.LeaseRequest{TTL: seconds})
 	return store.LeaseID(answer.ID), err
 }
 
 // Renew implements store.Store.
-func (mm *Memory) Renew(ctx context.Context, lease store.LeaseID) error {
+func (mm *MemoryStore) Renew(ctx context.Context, lease store.LeaseID) error {
 	answer, err := callKV(ctx, mm, "Renew", mm.KV.renew, store.LeaseRequest{ID: int64(lease)})
 	if err == nil && answer.Result.TTL <= 0 {
 		return store.Missing.New("stand: lease %d has expired: grant a new one", lease)
@@ -120,13 +120,13 @@
 }
 
 // Revoke implements store.Store.
-func (mm *Memory) Revoke(ctx context.Context, lease store.LeaseID) error {
+func (mm *MemoryStore) Revoke(ctx context.Context, lease store.LeaseID) error {
 	_, err := callKV(ctx, mm, "Revoke", mm.KV.revoke, store.LeaseRequest{ID: int64(lease)})
 	return err
 }
 
 // Watch implements store.Store.
-func (mm *Memory) Watch(ctx context.Context, prefix string, revision int64) (<-chan store.Change, error) {
+func (mm *MemoryStore) Watch(ctx context.Context, prefix string, revision int64) (<-chan store.Change, error) {
 	status, err := mm.KV.gate.admit(ctx, "Watch")
 	if err != nil || status != nil || (mm.Partitioned != nil && mm.Partitioned()) {
 		return nil, errNoAnswer
@@ -138,7 +138,7 @@
 }
 
 // forwardChanges sends the watched changes until the context ends or a fault ends the watch, and then closes the channel.
-func (mm *Memory) forwardChanges(ctx context.Context, create store.WatchCreate, from int64, changes chan<- store.Change) {
+func (mm *MemoryStore) forwardChanges(ctx context.Context, create store.WatchCreate, from int64, changes chan<- store.Change) {
 	defer close(changes)
 	cut := mm.KV.gate.addWatch(1)
 	defer mm.KV.gate.addWatch(-1)
--- a/internal/steer/batch_test.go
+++ b/internal/steer/batch_test.go
@@ -11,7 +11,7 @@
 )
 
 var batchRoute = decl.Route{
-	Name: "short", Shares: []decl.Share{{Service: "lyric", Weight: 1}}, Stream: true, Repeats: decl.RepeatsResumed,
+	Name: "short", Shares: []decl.Share{{Service: "lyric", Weight: 1}}, Stream: true, Repeats: decl.RetryResumed,
 	Timeout: decl.Duration(10 * time.Second), Goal: decl.Duration(400 * time.Millisecond), Gap: decl.Duration(300 * time.Millisecond), Attempts: 2,
 }
 
--- a/internal/steer/cost.go
+++ b/internal/steer/cost.go
@@ -73,9 +73,9 @@
 
 // harmToOthers returns the value that the replica's other requests lose additionally if it reads this part too. The reading
 // lengthens the next pass: streams pause until the pass ends, and answers that wait for the same pass begin at its end.
-func (st *State) harmToOthers(rep *replica, fc *forecast, part decl.Reading) float64 {
-	pauseBefore, pauseAfter := fc.pause(decl.Reading{}), fc.pause(part)
-	firstBefore, firstAfter := fc.firstEvent(decl.Reading{}), fc.firstEvent(part)
+func (st *State) harmToOthers(rep *replica, fc *forecast, part decl.PrefillWork) float64 {
+	pauseBefore, pauseAfter := fc.pause(decl.PrefillWork{}), fc.pause(part)
+	firstBefore, firstAfter := fc.firstEvent(decl.PrefillWork{}), fc.firstEvent(part)
 	var lost float64
 	for i := range rep.works {
 		wk := &rep.works[i]
--- a/internal/steer/event.go
+++ b/internal/steer/event.go
@@ -97,9 +97,9 @@
 	PauseAt time.Time
 	// Status is the HTTP status of the replica's answer, 0 if there was none.
 	Status int
-	// FaultAt is the name or address of the replica at fault if that is not the one that was sent the request, empty if
+	// FaultyReplica is the name or address of the replica at fault if that is not the one that was sent the request, empty if
 	// unknown.
-	FaultAt string
+	FaultyReplica string
 }
 
 // Replica is one incarnation of an upstream process.
--- a/internal/steer/life_test.go
+++ b/internal/steer/life_test.go
@@ -50,7 +50,7 @@
 	result := outcomes[rhs.lw.random.IntN(len(outcomes))]
 	end := steer.AttemptEnded{ID: eff.ID, Attempt: eff.Attempt, Result: result, Died: rhs.lw.chance(0.1) == 1, Status: 500}
 	rh.sent++
-	if rh.sent > 1 && rh.route.Repeats == decl.RepeatsNone && rh.ran > 0 {
+	if rh.sent > 1 && rh.route.Repeats == decl.RetryNone && rh.ran > 0 {
 		rhs.rt.Fatalf("request %d of %s sent again after it may have run", eff.ID, rh.route.Name)
 	}
 	if result != steer.ResultNotSent && result != steer.ResultNotRun && result != steer.ResultMisdirected {
--- a/internal/steer/pass.go
+++ b/internal/steer/pass.go
@@ -159,10 +159,10 @@
 		if wk.stage != stageReading {
 			continue
 		}
-		wk.left = wk.left.Times(1 - wk.passShare)
+		wk.left = wk.left.Scale(1 - wk.passShare)
 		wk.stage = stageWaiting
 		if wk.passShare >= 1-negligibleShare {
-			wk.left = decl.Reading{}
+			wk.left = decl.PrefillWork{}
 			wk.stage = stageDone
 		}
 	}
@@ -185,7 +185,7 @@
 	// readingInPass is the reading of the current pass in ms.
 	readingInPass float64
 	// waits is the reading that waits for the next pass.
-	waits decl.Reading
+	waits decl.PrefillWork
 	// step is the time in ms of one step with the requests that write.
 	step float64
 	// stride is the number of steps of a pass, 0 if no request writes.
@@ -207,10 +207,10 @@
 		switch {
 		case wk.begun || wk.stage == stageDone:
 		case wk.stage == stageWaiting:
-			fc.waits = fc.waits.Plus(wk.left)
+			fc.waits = fc.waits.Add(wk.left)
 		default:
 			fc.readingInPass += wk.left.Time * wk.passShare
-			fc.waits = fc.waits.Plus(wk.left.Times(1 - wk.passShare))
+			fc.waits = fc.waits.Add(wk.left.Scale(1 - wk.passShare))
 		}
 	}
 	writers, contexts := rep.writing(false)
@@ -227,8 +227,8 @@
 }
 
 // firstEvent is the time in ms until the first event of a request with the reading.
-func (fc *forecast) firstEvent(rd decl.Reading) float64 {
-	all := fc.waits.Plus(rd)
+func (fc *forecast) firstEvent(rd decl.PrefillWork) float64 {
+	all := fc.waits.Add(rd)
 	if fc.stride == 0 {
 		return fc.left + fc.slow*(all.Time+(all.Steps+1)*fc.step)
 	}
@@ -237,7 +237,7 @@
 }
 
 // partRead is the time in ms until a part of a prompt is read that another engine answers.
-func (fc *forecast) partRead(rd decl.Reading) float64 {
+func (fc *forecast) partRead(rd decl.PrefillWork) float64 {
 	if fc.stride == 0 {
 		return fc.left + fc.slow*(rd.Time+(rd.Steps+1)*fc.step)
 	}
@@ -250,13 +250,13 @@
 }
 
 // pause is the longest of the next passes in ms if the reading is added to what waits, 0 if no request writes.
-func (fc *forecast) pause(rd decl.Reading) float64 {
+func (fc *forecast) pause(rd decl.PrefillWork) float64 {
 	if fc.stride == 0 {
 		return 0
 	}
-	all := fc.waits.Plus(rd)
+	all := fc.waits.Add(rd)
 	if all.Steps > fc.stride {
-		all = all.Times(fc.stride / all.Steps)
+		all = all.Scale(fc.stride / all.Steps)
 	}
 	return fc.slow * (all.Time + fc.stride*fc.step)
 }
--- a/internal/steer/peer.go
+++ b/internal/steer/peer.go
@@ -252,11 +252,11 @@
 		eng := st.serviceOf(rep.Service).engine
 		if eng != nil {
 			wk.context = job.Prompt / int64(len(job.Replicas))
-			part := eng.Reading(job.Prompt, len(job.Replicas))
-			alone := part.Alone(eng)
+			part := eng.PrefillWork(job.Prompt, len(job.Replicas))
+			alone := part.AloneTime(eng)
 			wk.long = alone > st.tune.LongRead
 			if !job.Begun {
-				wk.left = part.Times(max(0, 1-float64(job.Age)/alone))
+				wk.left = part.Scale(max(0, 1-float64(job.Age)/alone))
 			}
 			switch {
 			case wk.first:
--- a/internal/steer/place.go
+++ b/internal/steer/place.go
@@ -141,7 +141,7 @@
 	var best plan
 	found := false
 	for _, count := range engineCounts {
-		if count > 1 && (count > st.maxEngines(eng) || eng.Reading(req.Prompt, 1).Alone(eng) < st.tune.MinSplit*float64(count)) {
+		if count > 1 && (count > st.maxEngines(eng) || eng.PrefillWork(req.Prompt, 1).AloneTime(eng) < st.tune.MinSplit*float64(count)) {
 			break
 		}
 		pl, ok := st.planFor(eng, req, engines, count, price)
@@ -176,14 +176,14 @@
 
 // planFor returns the cheapest plan for reading the request on count engines, or false if there is none.
 func (st *State) planFor(eng *decl.Engine, req *request, engines []candidate, count int, price prices) (plan, bool) {
-	part := eng.Reading(req.Prompt, count)
+	part := eng.PrefillWork(req.Prompt, count)
 	quotes := st.quotes(eng, req, engines, part, count)
 	slices.SortStableFunc(quotes, func(a, b quote) int { return cmp.Compare(a.helperCost(price.idle), b.helperCost(price.idle)) })
 	first := answeringEngine(eng, req, quotes, price.idle)
 	if first < 0 || len(quotes) < count {
 		return plan{}, false
 	}
-	pl := plan{part: part.Alone(eng), reps: []*replica{quotes[first].rep}}
+	pl := plan{part: part.AloneTime(eng), reps: []*replica{quotes[first].rep}}
 	pl.cost, pl.first = quotes[first].harm+quotes[first].pauseLoss, quotes[first].answerTime
 	pl.spreadCost = quotes[first].spreadCost
 	missing := req.tokens() - quotes[first].freeTokens
@@ -251,9 +251,9 @@
 }
 
 // quotes prices a part of the reading at each engine.
-func (st *State) quotes(eng *decl.Engine, req *request, engines []candidate, part decl.Reading, count int) []quote {
+func (st *State) quotes(eng *decl.Engine, req *request, engines []candidate, part decl.PrefillWork, count int) []quote {
 	quotes := make([]quote, 0, len(engines))
-	long := part.Alone(eng) > st.tune.LongRead
+	long := part.AloneTime(eng) > st.tune.LongRead
 	for i := range engines {
 		cand := &engines[i]
 		if long && cand.readsLong || cand.limited && count > 1 {
--- a/internal/steer/price.go
+++ b/internal/steer/price.go
@@ -84,7 +84,7 @@
 
 // recordDemand adds a prompt to the demand at its caller's first try.
 func (st *State) recordDemand(eng *decl.Engine, req *request) {
-	reading := eng.Reading(req.Prompt, 1).Alone(eng) / 1000
+	reading := eng.PrefillWork(req.Prompt, 1).AloneTime(eng) / 1000
 	st.demand.decayed(st.now)
 	st.demand.Demand = st.demand.plus(Demand{
 		Value: float32(req.value), Reading: float32(reading), WeightedGoal: float32(reading * req.Route.Goal.Std().Seconds()),
--- a/internal/steer/queue.go
+++ b/internal/steer/queue.go
@@ -169,7 +169,7 @@
 		return 0
 	}
 	engines := max(1, min(st.maxEngines(svc.engine), len(st.candidates(svc))))
-	return duration(svc.engine.Reading(req.Prompt, engines).Alone(svc.engine))
+	return duration(svc.engine.PrefillWork(req.Prompt, engines).AloneTime(svc.engine))
 }
 
 // retryAfter is when the caller of a refused request should retry, within the time for which callers wait when asked to.
--- a/internal/steer/replica.go
+++ b/internal/steer/replica.go
@@ -25,7 +25,7 @@
 	// is written.
 	context int64
 	// left is what is still to be read.
-	left decl.Reading
+	left decl.PrefillWork
 	// passShare is the share of left that the current pass reads.
 	passShare float64
 	stage     stage
--- a/internal/steer/retry.go
+++ b/internal/steer/retry.go
@@ -40,7 +40,7 @@
 
 // recordOutcome updates the health of the replica at fault from the result of an attempt.
 func (st *State) recordOutcome(req *request, ev AttemptEnded) {
-	rep := st.atFault(req, ev.FaultAt)
+	rep := st.atFault(req, ev.FaultyReplica)
 	switch ev.Result {
 	case ResultNotRun:
 		// A refusal that another replica caused names that one: a helper that is leaving or gone.
@@ -140,9 +140,9 @@
 // repeatable reports whether the route allows a request that may have run to run again after this result.
 func repeatable(req *request, ev AttemptEnded) bool {
 	switch req.Route.Repeats {
-	case decl.RepeatsAny:
+	case decl.RetryAny:
 		return !req.begun
-	case decl.RepeatsResumed:
+	case decl.RetryResumed:
 		return ev.Result != ResultAnswered || ev.Status >= 500
 	}
 	return false
--- a/internal/steer/serve.go
+++ b/internal/steer/serve.go
@@ -99,7 +99,7 @@
 	req.aborted = false
 	eff := Send{
 		ID: req.ID, Attempt: req.attempt, Replica: pl.reps[0].Replica, Priority: req.Priority,
-		NewConnection: req.Route.Repeats == decl.RepeatsNone, Deadline: req.Deadline,
+		NewConnection: req.Route.Repeats == decl.RetryNone, Deadline: req.Deadline,
 	}
 	var helpers []string
 	for i, rep := range pl.reps[1:] {
--- a/internal/steer/steer_test.go
+++ b/internal/steer/steer_test.go
@@ -16,19 +16,19 @@
 // The routes of the tests: streams with the goals of short and long prompts, and plain calls.
 var (
 	short = decl.Route{
-		Name: "short", Shares: []decl.Share{{Service: "lyric", Weight: 1}}, Repeats: decl.RepeatsResumed, Stream: true,
+		Name: "short", Shares: []decl.Share{{Service: "lyric", Weight: 1}}, Repeats: decl.RetryResumed, Stream: true,
 		Timeout: seconds(10), Goal: decl.Duration(300 * time.Millisecond), Gap: decl.Duration(250 * time.Millisecond), Attempts: 2,
 	}
 	long = decl.Route{
-		Name: "long", Shares: []decl.Share{{Service: "lyric", Weight: 1}}, Repeats: decl.RepeatsResumed, Stream: true,
+		Name: "long", Shares: []decl.Share{{Service: "lyric", Weight: 1}}, Repeats: decl.RetryResumed, Stream: true,
 		Timeout: seconds(15), Goal: seconds(3), Gap: seconds(1), Attempts: 2,
 	}
 	update = decl.Route{
-		Name: "update", Shares: []decl.Share{{Service: "board", Weight: 1}}, Repeats: decl.RepeatsNone,
+		Name: "update", Shares: []decl.Share{{Service: "board", Weight: 1}}, Repeats: decl.RetryNone,
 		Timeout: seconds(2), Goal: decl.Duration(300 * time.Millisecond), Attempts: 1,
 	}
 	lookup = decl.Route{
-		Name: "lookup", Shares: []decl.Share{{Service: "board", Weight: 1}}, Repeats: decl.RepeatsAny,
+		Name: "lookup", Shares: []decl.Share{{Service: "board", Weight: 1}}, Repeats: decl.RetryAny,
 		Timeout: seconds(2), Goal: decl.Duration(300 * time.Millisecond), Attempts: 2,
 	}
 )
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -12,7 +12,7 @@
 		return event.SharesReceived{Shares: msg.Shares}, true
 	case PermitRequest:
 		return event.PermitRequested(msg), true
-	case PermitGrant:
+	case PermitDecision:
 		return event.PermitDecided(msg), true
 	case PermitReturn:
 		return event.PermitReturned(msg), true
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -16,7 +16,7 @@
 	return []wire.Message{
 		wire.Ack{},
 		wire.PermitRequest{Holder: "entry-1", Peer: "10.0.0.1:8081", Request: "r~1", Tokens: 1000, Wait: time.Minute},
-		wire.PermitGrant{From: "entry-0", Request: "r~1", Granted: true, Upstreams: []string{"lyric-0", "lyric-1"}},
+		wire.PermitDecision{From: "entry-0", Request: "r~1", Granted: true, Upstreams: []string{"lyric-0", "lyric-1"}},
 		wire.PermitReturn{Request: "r~1", Service: "lyric", FailureDomain: "a"},
 		wire.PermitRenew{Holder: "entry-1", Requests: []string{"r~1"}},
 		wire.PermitStatus{From: "entry-0", Unknown: []string{"r~1"}},
--- a/internal/wire/permit.go
+++ b/internal/wire/permit.go
@@ -6,8 +6,8 @@
 type (
 	// PermitRequest asks a pool's coordinator for a reservation, or reports an existing reservation to a new coordinator.
 	PermitRequest event.PermitRequested
-	// PermitGrant answers a PermitRequest, at once or later.
-	PermitGrant event.PermitDecided
+	// PermitDecision answers a PermitRequest, at once or later.
+	PermitDecision event.PermitDecided
 	// PermitReturn releases a reservation or a place in the queue.
 	PermitReturn event.PermitReturned
 	// PermitRenew renews reservations and places in the queue.
@@ -16,8 +16,8 @@
 	PermitStatus event.PermitStatusReceived
 )
 
-func (PermitRequest) isMessage() {}
-func (PermitGrant) isMessage()   {}
-func (PermitReturn) isMessage()  {}
-func (PermitRenew) isMessage()   {}
-func (PermitStatus) isMessage()  {}
+func (PermitRequest) isMessage()  {}
+func (PermitDecision) isMessage() {}
+func (PermitReturn) isMessage()   {}
+func (PermitRenew) isMessage()    {}
+func (PermitStatus) isMessage()   {}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -144,7 +144,7 @@
 var decoders = map[uint64]func(raw []byte) (Message, error){
 	1:  decode[Ack],
 	2:  decode[PermitRequest],
-	3:  decode[PermitGrant],
+	3:  decode[PermitDecision],
 	4:  decode[PermitReturn],
 	5:  decode[Quarantine],
 	10: decode[QuarantineRequest],
@@ -174,7 +174,7 @@
 		return 1
 	case PermitRequest:
 		return 2
-	case PermitGrant:
+	case PermitDecision:
 		return 3
 	case PermitReturn:
 		return 4
--- a/pkg/decl/engine.go
+++ b/pkg/decl/engine.go
@@ -28,19 +28,19 @@
 	Helpers int
 }
 
-// Reading is an amount of prefill work of one engine.
-type Reading struct {
+// PrefillWork is an amount of prefill work of one engine.
+type PrefillWork struct {
 	// Time is the time that the prompt tokens take, in ms.
 	Time float64
 	// Steps is the number of steps that the work is spread over. Their own duration, see Engine.StepTime, adds to Time.
 	Steps float64
 }
 
-// Reading returns the work of each engine when several engines prefill one prompt in equal parts.
-func (eng *Engine) Reading(prompt int64, engines int) Reading {
+// PrefillWork returns the work of each engine when several engines prefill one prompt in equal parts.
+func (eng *Engine) PrefillWork(prompt int64, engines int) PrefillWork {
 	tokens := float64(prompt)
 	pairs := tokens * tokens / 2 / 1e6
-	return Reading{
+	return PrefillWork{
 		Time:  (tokens/eng.ReadRate + pairs*eng.PairCost) / float64(engines),
 		Steps: tokens / float64(eng.Chunk) / float64(engines),
 	}
@@ -52,13 +52,15 @@
 	return eng.Step + float64(writers)*eng.PerWriter + float64(contexts)/1000*eng.PerContext
 }
 
-// Alone returns how long an engine that has no other work takes for the prefill, in ms.
-func (rd Reading) Alone(eng *Engine) float64 { return rd.Time + rd.Steps*eng.Step }
+// AloneTime returns how long an engine that has no other work takes for the prefill, in ms.
+func (rd PrefillWork) AloneTime(eng *Engine) float64 { return rd.Time + rd.Steps*eng.Step }
 
-// Times returns the work multiplied by a factor.
-func (rd Reading) Times(part float64) Reading { return Reading{rd.Time * part, rd.Steps * part} }
+// Scale returns the work multiplied by a factor.
+func (rd PrefillWork) Scale(part float64) PrefillWork {
+	return PrefillWork{rd.Time * part, rd.Steps * part}
+}
 
-// Plus returns the sum of the work.
-func (rd Reading) Plus(other Reading) Reading {
-	return Reading{rd.Time + other.Time, rd.Steps + other.Steps}
+// Add returns the sum of the work.
+func (rd PrefillWork) Add(other PrefillWork) PrefillWork {
+	return PrefillWork{rd.Time + other.Time, rd.Steps + other.Steps}
 }
--- a/pkg/decl/routing.go
+++ b/pkg/decl/routing.go
@@ -35,17 +35,17 @@
 	Idle Duration
 }
 
-// Repeats states which requests of a route may be retried once they may have run.
-type Repeats string
+// RetryPolicy states which requests of a route may be retried once they may have run.
+type RetryPolicy string
 
 // Values of Repeats.
 const (
-	// RepeatsAny is for idempotent requests.
-	RepeatsAny Repeats = "Any"
-	// RepeatsNone is for requests that may run at most once.
-	RepeatsNone Repeats = "None"
-	// RepeatsResumed is for streams that another replica can resume after the last event that the caller received.
-	RepeatsResumed Repeats = "Resumed"
+	// RetryAny is for idempotent requests.
+	RetryAny RetryPolicy = "Any"
+	// RetryNone is for requests that may run at most once.
+	RetryNone RetryPolicy = "None"
+	// RetryResumed is for streams that another replica can resume after the last event that the caller received.
+	RetryResumed RetryPolicy = "Resumed"
 )
 
 // Route maps a host and path prefix to services and states the latency and retries of its requests.
@@ -57,7 +57,7 @@
 	Prefix string
 	// Shares divide the requests among services by weight; never empty.
 	Shares  []Share
-	Repeats Repeats
+	Repeats RetryPolicy
 	// Stream reports whether answers are event streams.
 	Stream bool
 	// Timeout is the maximum time from arrival to the end of the answer; above 0.
