--- a/internal/core/finish.go
+++ b/internal/core/finish.go
@@ -31,17 +31,17 @@
 // failureRefusal returns the refusal of a request that failed for the given reason. It reports that the request has run
 // only if part of its answer was received; otherwise that is not certain.
 func (st *State) failureRefusal(req *Request, reason effect.Reason, remedy string) *effect.Refusal {
-	ran := effect.NotRun
+	runState := effect.NotRun
 	switch {
 	case req.MayHaveRun && req.Answered:
-		ran = effect.HasRun
+		runState = effect.HasRun
 	case req.MayHaveRun:
-		ran = effect.Unknown
+		runState = effect.Unknown
 	}
-	if ran == effect.Unknown && !req.Idempotent {
+	if runState == effect.Unknown && !req.Idempotent {
 		reason = effect.ReasonOutcome
 	}
-	return &effect.Refusal{Reason: reason, RunState: ran, RetryAfter: time.Second, Remedy: remedy}
+	return &effect.Refusal{Reason: reason, RunState: runState, RetryAfter: time.Second, Remedy: remedy}
 }
 
 // finish ends a request. The refusal is nil if the request was answered or its caller has disconnected. Every admitted
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -23,7 +23,7 @@
 // apiError is an error in the format that clients of the completions API expect.
 type apiError struct {
 	Status int `json:"-"`
-	// RunState reports whether the request ran. It is sent in the header HeaderRan.
+	// RunState reports whether the request ran. It is sent in the header HeaderRunState.
 	RunState effect.RunState `json:"-"`
 	// RetryAfter is sent in the header Retry-After, unless it is 0.
 	RetryAfter time.Duration `json:"-"`
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -27,23 +27,23 @@
 }
 
 // Add adds a time.
-func (ts *Distribution) Add(period time.Duration) {
-	_ = ts.hist.RecordValue(min(max(1, period.Microseconds()), maxTracked))
+func (ds *Distribution) Add(period time.Duration) {
+	_ = ds.hist.RecordValue(min(max(1, period.Microseconds()), maxTracked))
 }
 
 // Merge adds another distribution.
-func (ts *Distribution) Merge(other *Distribution) {
-	ts.hist.Merge(other.hist)
+func (ds *Distribution) Merge(other *Distribution) {
+	ds.hist.Merge(other.hist)
 }
 
 // Count returns the number of times in the distribution.
-func (ts *Distribution) Count() int64 {
-	return ts.hist.TotalCount()
+func (ds *Distribution) Count() int64 {
+	return ds.hist.TotalCount()
 }
 
 // Quantile returns the quantile for a share from 0 to 1, or 0 if the distribution is empty.
-func (ts *Distribution) Quantile(share float64) time.Duration {
-	return time.Duration(ts.hist.ValueAtQuantile(100*share)) * time.Microsecond
+func (ds *Distribution) Quantile(share float64) time.Duration {
+	return time.Duration(ds.hist.ValueAtQuantile(100*share)) * time.Microsecond
 }
 
 // Counts counts requests by how they ended.
--- a/internal/model/bound.go
+++ b/internal/model/bound.go
@@ -128,8 +128,8 @@
 	return true
 }
 
-// FullInformation returns the scenario with a single instance and almost no delay. Its result is what the same decisions earn
-// if no information is late or missing.
+// FullInformation returns the scenario with a single instance and almost no delay. Its result is what the same decisions
+// earn if no information is late or missing.
 func FullInformation(sc *Scenario) *Scenario {
 	ideal := *sc
 	ideal.Name += ", all known"
--- a/internal/model/draw.go
+++ b/internal/model/draw.go
@@ -87,9 +87,9 @@
 // follows from the spread, and its share of the passes that decode its answer.
 func (sc *Scenario) cost(cls *Class) float64 {
 	eng := &sc.Engine
-	rd := eng.PrefillWork(int64(cls.MeanPrompt), 1)
+	pw := eng.PrefillWork(int64(cls.MeanPrompt), 1)
 	linear := cls.MeanPrompt / eng.ReadRate
-	pairs := (rd.Time - linear) * math.Exp(cls.Spread*cls.Spread)
+	pairs := (pw.Time - linear) * math.Exp(cls.Spread*cls.Spread)
 	write := cls.MeanEvents * float64(eng.Stride) * eng.StepTime(eng.Slots, 0) / float64(eng.Slots)
-	return linear + pairs + rd.Steps*eng.Step + write
+	return linear + pairs + pw.Steps*eng.Step + write
 }
--- a/internal/once/segment.go
+++ b/internal/once/segment.go
@@ -81,10 +81,10 @@
 func decodeSegment(raw []byte) (*Segment, error) {
 	seg := newSegment()
 	if err := cbor.Unmarshal(raw, seg); err != nil {
-		return nil, Corrupt.Wrap(err, "once: segment does not decode: run the same release on all instances")
+		return nil, Corrupt.Wrap(err, "once: segment does not decode; run the same release on all instances")
 	}
 	if seg.Records == nil || seg.Abandoned == nil {
-		return nil, Corrupt.New("once: segment lacks its records or nonces: find out what else writes keys below %s", Prefix)
+		return nil, Corrupt.New("once: segment lacks its records or nonces; find out what else writes keys below %s", Prefix)
 	}
 	return seg, nil
 }
--- a/internal/once/worker.go
+++ b/internal/once/worker.go
@@ -333,7 +333,7 @@
 func (wk *worker) decode(pair store.Pair) (cachedSegment, error) {
 	number, err := strconv.ParseInt(strings.TrimPrefix(pair.Key, wk.path), 10, 64)
 	if err != nil || number < 0 {
-		return cachedSegment{}, Corrupt.New("once: %s is not the key of a segment: find out what else writes below the prefix of claims", pair.Key)
+		return cachedSegment{}, Corrupt.New("once: %s is not the key of a segment; find out what else writes below the prefix of claims", pair.Key)
 	}
 	seg, err := decodeSegment(pair.Value)
 	return cachedSegment{number: number, revision: pair.Revision, seg: seg}, err
--- a/internal/order/limiter.go
+++ b/internal/order/limiter.go
@@ -102,7 +102,7 @@
 func decodeEntries(raw []byte) ([]loadEntry, error) {
 	var list []loadEntry
 	if err := json.Unmarshal(raw, &list); err != nil {
-		return nil, store.Invalid.Wrap(err, "order: value of %s does not decode: remove the key, its loads count for one minute only", weightsKey)
+		return nil, store.Invalid.Wrap(err, "order: value of %s does not decode; remove the key, its loads count for one minute only", weightsKey)
 	}
 	return list, nil
 }
--- a/internal/peers/quic.go
+++ b/internal/peers/quic.go
@@ -272,7 +272,7 @@
 	}
 	answer, err := qu.linkTo(address).exchange(ctx, raw)
 	if err != nil {
-		return nil, Unreachable.Wrap(err, "peers: no answer from %s: check that it runs and that UDP packets reach it", address)
+		return nil, Unreachable.Wrap(err, "peers: no answer from %s; check that it runs and that UDP packets reach it", address)
 	}
 	return wire.Decode(answer)
 }
--- a/internal/plat/plat.go
+++ b/internal/plat/plat.go
@@ -80,14 +80,14 @@
 func (cl *Client) List(ctx context.Context) (Listing, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+cl.address+PathInstances, nil)
 	if err != nil {
-		return Listing{}, Unavailable.Wrap(err, "plat: the platform's address is invalid: give host:port")
+		return Listing{}, Unavailable.Wrap(err, "plat: the platform's address is invalid; give host:port")
 	}
 	if cl.etag != "" {
 		req.Header.Set("If-None-Match", cl.etag)
 	}
 	resp, err := cl.http.Do(req)
 	if err != nil {
-		return Listing{}, Unavailable.Wrap(err, "plat: cannot read the list: the last list stays in use")
+		return Listing{}, Unavailable.Wrap(err, "plat: cannot read the list; the last list stays in use")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	switch resp.StatusCode {
@@ -96,13 +96,13 @@
 	case http.StatusNotModified:
 		return cl.last, nil
 	}
-	return Listing{}, Unavailable.New("plat: the platform answered the list request with %s: the last list stays in use", resp.Status)
+	return Listing{}, Unavailable.New("plat: the platform answered the list request with %s; the last list stays in use", resp.Status)
 }
 
 func (cl *Client) read(resp *http.Response) (Listing, error) {
 	var listing Listing
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListing)).Decode(&listing); err != nil {
-		return Listing{}, Unavailable.Wrap(err, "plat: the list is not valid JSON: the last list stays in use")
+		return Listing{}, Unavailable.Wrap(err, "plat: the list is not valid JSON; the last list stays in use")
 	}
 	cl.last = listing
 	cl.etag = resp.Header.Get("ETag")
--- a/internal/plat/put.go
+++ b/internal/plat/put.go
@@ -26,11 +26,11 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+platform+PathInstances+"/"+name, bytes.NewReader(raw))
 	if err != nil {
-		return Unavailable.Wrap(err, "plat: the platform's address is invalid: give host:port")
+		return Unavailable.Wrap(err, "plat: the platform's address is invalid; give host:port")
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return Unavailable.Wrap(err, "plat: the platform at %s does not answer: start it first", platform)
+		return Unavailable.Wrap(err, "plat: the platform at %s does not answer; start it first", platform)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -55,11 +55,11 @@
 func openGossip(in *Instance) (*gossip, error) {
 	address, err := net.ResolveUDPAddr("udp", in.opts.PeerListen)
 	if err != nil {
-		return nil, BadOption.Wrap(err, "relay: --peer-listen is %q: give an IP address and a port", in.opts.PeerListen)
+		return nil, BadOption.Wrap(err, "relay: --peer-listen is %q; give an IP address and a port", in.opts.PeerListen)
 	}
 	conn, err := net.ListenUDP("udp", address)
 	if err != nil {
-		return nil, Errors.NewType("listen").Wrap(err, "relay: --peer-listen %s cannot be used: choose a free address", in.opts.PeerListen)
+		return nil, Errors.NewType("listen").Wrap(err, "relay: --peer-listen %s cannot be used; choose a free address", in.opts.PeerListen)
 	}
 	gs := &gossip{
 		in: in, conn: conn, queue: make(chan steer.SendNote, noteQueueSize),
--- a/internal/relay/instance.go
+++ b/internal/relay/instance.go
@@ -192,7 +192,7 @@
 func listen(flag, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, Errors.NewType("listen").Wrap(err, "relay: --%s %s cannot be used: choose a free address", flag, address)
+		return nil, Errors.NewType("listen").Wrap(err, "relay: --%s %s cannot be used; choose a free address", flag, address)
 	}
 	return listener, nil
 }
--- a/internal/relay/loadpoll.go
+++ b/internal/relay/loadpoll.go
@@ -40,13 +40,13 @@
 	sent := time.Now()
 	resp, err := in.pooled.RoundTrip(req)
 	if err != nil {
-		return 0, 0, OrderFailed.Wrap(err, "relay: %s did not answer the load poll: its load counts as zero", replica.Name)
+		return 0, 0, OrderFailed.Wrap(err, "relay: %s did not answer the load poll; its load counts as zero", replica.Name)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	in.recordRateLimit(replica, sent, in.protocol.ParseResponse(resp))
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxLoadBytes))
 	if err != nil || resp.StatusCode != http.StatusOK {
-		return 0, 0, OrderFailed.New("relay: %s answered the load poll with status %d: its load counts as zero", replica.Name, resp.StatusCode)
+		return 0, 0, OrderFailed.New("relay: %s answered the load poll with status %d; its load counts as zero", replica.Name, resp.StatusCode)
 	}
 	return in.protocol.ParseLoad(body)
 }
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -14,7 +14,7 @@
 // serveMetrics serves counters, gauges and histograms at --metrics-listen, if it is set.
 func (in *Instance) serveMetrics(ctx context.Context) error {
 	if err := meter.Serve(ctx, in.opts.MetricsListen, http.HandlerFunc(in.metrics)); err != nil {
-		return BadOption.Wrap(err, "relay: --metrics-listen %s cannot be used: choose a free address", in.opts.MetricsListen)
+		return BadOption.Wrap(err, "relay: --metrics-listen %s cannot be used; choose a free address", in.opts.MetricsListen)
 	}
 	return nil
 }
--- a/internal/relay/options.go
+++ b/internal/relay/options.go
@@ -41,7 +41,7 @@
 	for flag, address := range addresses {
 		host, _, err := net.SplitHostPort(address)
 		if err != nil || net.ParseIP(host) == nil {
-			return BadOption.New("relay: --%s is %q: give an IP address and a port, such as 127.0.0.1:8080", flag, address)
+			return BadOption.New("relay: --%s is %q; give an IP address and a port, such as 127.0.0.1:8080", flag, address)
 		}
 	}
 	periods := map[string]time.Duration{
@@ -49,20 +49,20 @@
 	}
 	for flag, period := range periods {
 		if period < 100*time.Millisecond {
-			return BadOption.New("relay: --%s is %s: give 100ms or more", flag, period)
+			return BadOption.New("relay: --%s is %s; give 100ms or more", flag, period)
 		}
 	}
 	if opts.DrainNotice < 0 || opts.DrainNotice >= opts.Grace {
-		return BadOption.New("relay: --drain-notice is %s: give 0s or more, and less than --grace, which is %s", opts.DrainNotice, opts.Grace)
+		return BadOption.New("relay: --drain-notice is %s; give 0s or more, and less than --grace, which is %s", opts.DrainNotice, opts.Grace)
 	}
 	if opts.BudgetRatio < 0 || opts.BudgetSlack < 0 {
-		return BadOption.New("relay: --budget-ratio is %v and --budget-slack %v: give 0 or more", opts.BudgetRatio, opts.BudgetSlack)
+		return BadOption.New("relay: --budget-ratio is %v and --budget-slack %v; give 0 or more", opts.BudgetRatio, opts.BudgetSlack)
 	}
 	if opts.LogLines < 1 {
-		return BadOption.New("relay: --log-lines is %d: give 1 or more", opts.LogLines)
+		return BadOption.New("relay: --log-lines is %d; give 1 or more", opts.LogLines)
 	}
 	if opts.MaxBody < 1024 {
-		return BadOption.New("relay: --max-body is %d: give 1024 or more", opts.MaxBody)
+		return BadOption.New("relay: --max-body is %d; give 1024 or more", opts.MaxBody)
 	}
 	return nil
 }
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -139,8 +139,8 @@
 	After string
 }
 
-// ForwardHelper is a replica that processes a part of the prompt. Ticket is the ID of its reservation, empty if it has
-// none.
+// ForwardHelper is a replica that processes a part of the prompt. ReservationID is empty if nothing is reserved at
+// the replica.
 type ForwardHelper struct{ Address, ReservationID string }
 
 // ResponseInfo is the information in a replica's response headers.
--- a/internal/relay/reservation.go
+++ b/internal/relay/reservation.go
@@ -133,13 +133,13 @@
 	sent := time.Now()
 	resp, err := att.in.pooled.RoundTrip(req)
 	if err != nil {
-		return OrderFailed.Wrap(err, "relay: %s did not answer a reservation order: another replica is used", to.Name)
+		return OrderFailed.Wrap(err, "relay: %s did not answer a reservation order; another replica is used", to.Name)
 	}
 	att.in.recordRateLimit(to.Replica, sent, att.in.protocol.ParseResponse(resp))
 	defer func() { _ = resp.Body.Close() }()
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxOrderResponse))
 	if resp.StatusCode != http.StatusOK {
-		return OrderFailed.New("relay: %s answered a reservation order with status %d: another replica is used", to.Name, resp.StatusCode)
+		return OrderFailed.New("relay: %s answered a reservation order with status %d; another replica is used", to.Name, resp.StatusCode)
 	}
 	return nil
 }
--- a/internal/relay/share.go
+++ b/internal/relay/share.go
@@ -56,23 +56,23 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(limited, http.MethodGet, "http://"+from.String()+sharedConfigPath, nil)
 	if err != nil {
-		return nil, BadOption.Wrap(err, "relay: cannot build a request to the instance at %s: check its registered address", from)
+		return nil, BadOption.Wrap(err, "relay: cannot build a request to the instance at %s; check its registered address", from)
 	}
 	resp, err := in.unpooled.RoundTrip(req)
 	if err != nil {
-		return nil, OrderFailed.Wrap(err, "relay: the instance at %s did not send the configuration: the store is read instead", from)
+		return nil, OrderFailed.Wrap(err, "relay: the instance at %s did not send the configuration; the store is read instead", from)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxSharedConfig))
 	if err != nil {
-		return nil, OrderFailed.Wrap(err, "relay: the instance at %s sent an incomplete configuration: the store is read instead", from)
+		return nil, OrderFailed.Wrap(err, "relay: the instance at %s sent an incomplete configuration; the store is read instead", from)
 	}
 	var shared sharedConfig
 	if err := cbor.Unmarshal(raw, &shared); err != nil || shared.Routing == nil {
-		return nil, OrderFailed.New("relay: the instance at %s sent a malformed configuration: the store is read instead", from)
+		return nil, OrderFailed.New("relay: the instance at %s sent a malformed configuration; the store is read instead", from)
 	}
 	if shared.Revision < atLeast {
-		return nil, OrderFailed.New("relay: the instance at %s sent the configuration of revision %d, older than %d: the store is read instead", from, shared.Revision, atLeast)
+		return nil, OrderFailed.New("relay: the instance at %s sent the configuration of revision %d, older than %d; the store is read instead", from, shared.Revision, atLeast)
 	}
 	shared.Routing.Index()
 	return shared.Routing, nil
--- a/internal/stand/engine.go
+++ b/internal/stand/engine.go
@@ -54,8 +54,8 @@
 	Seed uint64
 }
 
-// DefaultEngineOptions returns the options of an engine of medium speed. It prefills 20,000 prompt tokens per second and decodes
-// 50 answer tokens per second for each request.
+// DefaultEngineOptions returns the options of an engine of medium speed. It prefills 20,000 prompt tokens per second and
+// decodes 50 answer tokens per second for each request.
 func DefaultEngineOptions() EngineOptions {
 	return EngineOptions{
 		Model:        "lyric",
--- a/internal/stand/engine_api.go
+++ b/internal/stand/engine_api.go
@@ -173,13 +173,13 @@
 	return fingerprint(bd.PromptBytes())
 }
 
-// TokenText returns the text of the answer's token with the given index. It contains the prompt's fingerprint, so that a reader
-// can check which request an answer belongs to.
+// TokenText returns the text of the answer's token with the given index. It contains the prompt's fingerprint, so that a
+// reader can check which request an answer belongs to.
 func TokenText(bd *body.Body, token int64) string {
 	return TokenTextOf(Fingerprint(bd), token)
 }
 
-// TokenTextOf is like Word, for a prompt with the given fingerprint.
+// TokenTextOf is like TokenText, for a prompt with the given fingerprint.
 func TokenTextOf(key uint32, token int64) string {
 	return fmt.Sprintf("%08x.%d ", key, token)
 }
--- a/internal/stand/engine_orders.go
+++ b/internal/stand/engine_orders.go
@@ -166,7 +166,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		delay.For(ctx, upstr.RetryAfter(resp.Header))
-		return fmt.Errorf("stand: the weight store answered %s for %s: retry later", resp.Status, name)
+		return fmt.Errorf("stand: the weight store answered %s for %s; retry later", resp.Status, name)
 	}
 	_, err = io.Copy(io.Discard, resp.Body)
 	return err
--- a/internal/stand/faults.go
+++ b/internal/stand/faults.go
@@ -116,7 +116,7 @@
 }
 
 // errNoAnswer reports that the call ends without an answer to the caller.
-var errNoAnswer = store.Unavailable.New("stand: the key-value service did not answer: a write may have taken effect, read the key back")
+var errNoAnswer = store.Unavailable.New("stand: the key-value service did not answer; a write may have taken effect, read the key back")
 
 // admit counts a call and lets it pass, after a delay if one is set. Otherwise it returns an error if the caller must get no
 // answer, or the status of a refusal.
--- a/internal/steer/cost.go
+++ b/internal/steer/cost.go
@@ -71,7 +71,7 @@
 	return st.tune.pauseLoss(&wk, fc.slow*float64(eng.Stride)*fc.step)
 }
 
-// harmToOthers returns the value that the replica's other requests lose additionally if it reads this part too. The reading
+// harmToOthers returns the value that the replica's other requests lose additionally if it reads this part too. Its prefill
 // lengthens the next pass: streams pause until the pass ends, and answers that wait for the same pass begin at its end.
 func (st *State) harmToOthers(rep *replica, fc *forecast, part decl.PrefillWork) float64 {
 	pauseBefore, pauseAfter := fc.pause(decl.PrefillWork{}), fc.pause(part)
--- a/internal/steer/event.go
+++ b/internal/steer/event.go
@@ -97,8 +97,8 @@
 	PauseAt time.Time
 	// Status is the HTTP status of the replica's answer, 0 if there was none.
 	Status int
-	// FaultyReplica is the name or address of the replica at fault if that is not the one that was sent the request, empty if
-	// unknown.
+	// FaultyReplica is the name or address of the replica at fault if that is not the one that was sent the request, empty
+	// if unknown.
 	FaultyReplica string
 }
 
--- a/internal/steer/pass.go
+++ b/internal/steer/pass.go
@@ -36,7 +36,7 @@
 	// minPass is the length of a pass of an engine that declares no time for its steps. Passes without length would keep
 	// advance in its loop for ever.
 	minPass = 100 * time.Microsecond
-	// negligibleShare is the share of a reading that counts as nothing left to read.
+	// negligibleShare is the share of a prefill's work that counts as nothing left to read.
 	negligibleShare = 1e-6
 )
 
@@ -182,9 +182,9 @@
 type forecast struct {
 	// left is the rest of the current pass in ms.
 	left float64
-	// readingInPass is the reading of the current pass in ms.
+	// readingInPass is the prefill work of the current pass in ms.
 	readingInPass float64
-	// waits is the reading that waits for the next pass.
+	// waits is the prefill work that waits for the next pass.
 	waits decl.PrefillWork
 	// step is the time in ms of one step with the requests that write.
 	step float64
@@ -221,14 +221,14 @@
 	return fc
 }
 
-// backlog is the reading in ms that is in progress or waits.
+// backlog is the prefill work in ms that is in progress or waits.
 func (fc *forecast) backlog() float64 {
 	return min(fc.left, fc.readingInPass*fc.slow) + fc.waits.Time*fc.slow
 }
 
-// firstEvent is the time in ms until the first event of a request with the reading.
-func (fc *forecast) firstEvent(rd decl.PrefillWork) float64 {
-	all := fc.waits.Add(rd)
+// firstEvent is the time in ms until the first event of a request with the given prefill work.
+func (fc *forecast) firstEvent(pw decl.PrefillWork) float64 {
+	all := fc.waits.Add(pw)
 	if fc.stride == 0 {
 		return fc.left + fc.slow*(all.Time+(all.Steps+1)*fc.step)
 	}
@@ -237,24 +237,24 @@
 }
 
 // partRead is the time in ms until a part of a prompt is read that another engine answers.
-func (fc *forecast) partRead(rd decl.PrefillWork) float64 {
+func (fc *forecast) partRead(pw decl.PrefillWork) float64 {
 	if fc.stride == 0 {
-		return fc.left + fc.slow*(rd.Time+(rd.Steps+1)*fc.step)
+		return fc.left + fc.slow*(pw.Time+(pw.Steps+1)*fc.step)
 	}
-	count := math.Ceil(max(negligibleShare, rd.Steps/fc.stride))
+	count := math.Ceil(max(negligibleShare, pw.Steps/fc.stride))
 	beside := 0.0
 	if fc.waits.Steps > 0 {
-		beside = fc.waits.Time * min(1, max(0, count*fc.stride-rd.Steps)/fc.waits.Steps)
+		beside = fc.waits.Time * min(1, max(0, count*fc.stride-pw.Steps)/fc.waits.Steps)
 	}
-	return fc.left + fc.slow*(rd.Time+beside+count*fc.stride*fc.step)
+	return fc.left + fc.slow*(pw.Time+beside+count*fc.stride*fc.step)
 }
 
-// pause is the longest of the next passes in ms if the reading is added to what waits, 0 if no request writes.
-func (fc *forecast) pause(rd decl.PrefillWork) float64 {
+// pause is the longest of the next passes in ms if the prefill work is added to what waits, 0 if no request writes.
+func (fc *forecast) pause(pw decl.PrefillWork) float64 {
 	if fc.stride == 0 {
 		return 0
 	}
-	all := fc.waits.Add(rd)
+	all := fc.waits.Add(pw)
 	if all.Steps > fc.stride {
 		all = all.Scale(fc.stride / all.Steps)
 	}
--- a/internal/steer/place.go
+++ b/internal/steer/place.go
@@ -18,7 +18,7 @@
 	reps []*replica
 	// reservations holds how many tokens of memory each helper reserves, nil if the first replica holds all.
 	reservations []int64
-	// part is the reading of each replica in ms.
+	// part is the prefill time of each replica in ms.
 	part float64
 	// first is the estimated time to the first byte in ms.
 	first float64
@@ -90,7 +90,7 @@
 // limit.
 const waitCost = 20
 
-// candidate is an engine that a request may use, whatever part of the reading it would get.
+// candidate is an engine that a request may use, whatever part of the prefill work it would get.
 type candidate struct {
 	rep      *replica
 	estimate forecast
@@ -109,7 +109,7 @@
 	limited bool
 }
 
-// quote is what a candidate costs with a given part of the reading.
+// quote is what a candidate costs with a given part of the prefill work.
 type quote struct {
 	*candidate
 	// harm is the value that the callers of its other requests lose.
@@ -214,7 +214,7 @@
 	return pl, true
 }
 
-// engines lists the engines that may take a part of the reading.
+// engines lists the engines that may take a part of the prefill work.
 func (st *State) engines(svc *service, req *request) []candidate {
 	replicas := st.candidates(svc)
 	engines := make([]candidate, 0, len(replicas))
@@ -250,7 +250,7 @@
 	return cand
 }
 
-// quotes prices a part of the reading at each engine.
+// quotes prices a part of the prefill work at each engine.
 func (st *State) quotes(eng *decl.Engine, req *request, engines []candidate, part decl.PrefillWork, count int) []quote {
 	quotes := make([]quote, 0, len(engines))
 	long := part.AloneTime(eng) > st.tune.LongRead
--- a/internal/steer/retry.go
+++ b/internal/steer/retry.go
@@ -122,7 +122,7 @@
 }
 
 // mayRepeat reports whether the request may be sent again: it certainly did not run, or its route declares that it may run
-// again. Repeats are bounded by maxSends, the route's attempts and the budget that all instances share.
+// again. Retries are bounded by maxSends, the route's attempts and the budget that all instances share.
 func (st *State) mayRepeat(req *request, ev AttemptEnded) bool {
 	if req.attempt >= maxSends || req.runs >= req.Route.Attempts {
 		return false
--- a/internal/upstr/client.go
+++ b/internal/upstr/client.go
@@ -151,9 +151,9 @@
 	}
 	// Before there is a connection no byte can have been sent; after that some may have been.
 	if !connected.Load() {
-		return nil, NotSent.Wrap(err, "upstr: connecting to %s failed: check that it runs and that the address is right", call.Address)
+		return nil, NotSent.Wrap(err, "upstr: connecting to %s failed; check that it runs and that the address is right", call.Address)
 	}
-	return nil, Failed.Wrap(err, "upstr: no answer from %s: the request may have run", call.Address)
+	return nil, Failed.Wrap(err, "upstr: no answer from %s; the request may have run", call.Address)
 }
 
 func newRequest(ctx context.Context, call Call) (*http.Request, error) {
@@ -306,7 +306,7 @@
 	}
 	defer drain(resp.Body)
 	if resp.StatusCode == http.StatusPreconditionFailed {
-		return Fenced.New("upstr: %s rejected an outdated fencing number: send the order from the current lease holder", call.Address)
+		return Fenced.New("upstr: %s rejected an outdated fencing number; send the order from the current lease holder", call.Address)
 	}
 	if resp.StatusCode/100 != 2 {
 		return statusError(call.Address, resp)
--- a/pkg/decl/engine.go
+++ b/pkg/decl/engine.go
@@ -53,14 +53,14 @@
 }
 
 // AloneTime returns how long an engine that has no other work takes for the prefill, in ms.
-func (rd PrefillWork) AloneTime(eng *Engine) float64 { return rd.Time + rd.Steps*eng.Step }
+func (pw PrefillWork) AloneTime(eng *Engine) float64 { return pw.Time + pw.Steps*eng.Step }
 
 // Scale returns the work multiplied by a factor.
-func (rd PrefillWork) Scale(part float64) PrefillWork {
-	return PrefillWork{rd.Time * part, rd.Steps * part}
+func (pw PrefillWork) Scale(part float64) PrefillWork {
+	return PrefillWork{pw.Time * part, pw.Steps * part}
 }
 
 // Add returns the sum of the work.
-func (rd PrefillWork) Add(other PrefillWork) PrefillWork {
-	return PrefillWork{rd.Time + other.Time, rd.Steps + other.Steps}
+func (pw PrefillWork) Add(other PrefillWork) PrefillWork {
+	return PrefillWork{pw.Time + other.Time, pw.Steps + other.Steps}
 }
--- a/pkg/decl/routing.go
+++ b/pkg/decl/routing.go
@@ -38,7 +38,7 @@
 // RetryPolicy states which requests of a route may be retried once they may have run.
 type RetryPolicy string
 
-// Values of Repeats.
+// Values of RetryPolicy.
 const (
 	// RetryAny is for idempotent requests.
 	RetryAny RetryPolicy = "Any"
