--- a/internal/cmds/get.go
+++ b/internal/cmds/get.go
@@ -10,6 +10,7 @@
 	"dandelionsail.example/dandelionsail/internal/oper"
 )
 
+// getCommand prints the configuration in force at an instance.
 type getCommand struct {
 	oper.Options
 	JSON bool `long:"json" description:"print JSON instead of YAML"`
--- a/internal/oper/oper.go
+++ b/internal/oper/oper.go
@@ -29,15 +29,16 @@
 	Errors = errorx.NewNamespace("oper")
 	// BadOption means that a setting is invalid or cannot be used.
 	BadOption = Errors.NewType("bad_option")
-	// Unreachable means that the instance sent no usable response, or answered 503.
+	// Unreachable means that no usable response arrived, or one with status 503. The request may be sent again.
 	Unreachable = Errors.NewType("unreachable", errorx.Temporary())
-	// Refused means that the instance rejected the request; the instance's message names the remedy.
+	// Refused means that the instance rejected the request for any other reason than Stale, or that the request could not be
+	// encoded. If the instance sent a message, that is the error's text and names the remedy.
 	Refused = Errors.NewType("refused")
 	// Stale means that a patch is based on a version that is no longer the newest one.
 	Stale = Errors.NewType("stale")
 )
 
-// Options select the instance to connect to and the operator's credentials.
+// Options select the instance to connect to, the operator's credentials and how the connection is made.
 type Options struct {
 	Server    string        `long:"server" env:"DANDELIONSAIL_SERVER" description:"an entry instance, host:port or URL" default:"127.0.0.1:8080"`
 	Token     string        `long:"token" env:"DANDELIONSAIL_OPERATOR_TOKEN" description:"operator's token; prefer the variable or --token-file"`
@@ -47,14 +48,15 @@
 	Timeout   time.Duration `long:"timeout" env:"DANDELIONSAIL_TIMEOUT" description:"timeout of a request" default:"10s"`
 }
 
-// Client sends requests to the operator API of one instance, or of all instances that it lists.
+// Client sends requests to the operator API of one instance, called its own here. Fleet and FleetReport also query the
+// instances that this one lists.
 type Client struct {
 	baseURL string
 	token   string
 	http    *http.Client
 }
 
-// New validates the options and returns a client. It returns a BadOption error for an invalid one.
+// New returns a client with the options, or a BadOption error if one of them is invalid or a file cannot be used.
 func New(opts Options) (*Client, error) {
 	token, err := opts.readToken()
 	if err != nil {
@@ -105,7 +107,7 @@
 	return "http://" + server
 }
 
-// withAddress returns a client of another instance that shares the scheme, the token and the connection pool.
+// withAddress returns a client of the instance at the address. It shares this client's scheme, token and connection pool.
 func (cl *Client) withAddress(address string) *Client {
 	scheme, _, _ := strings.Cut(cl.baseURL, "://")
 	return &Client{baseURL: scheme + "://" + address, token: cl.token, http: cl.http}
@@ -116,21 +118,21 @@
 	cl.http.CloseIdleConnections()
 }
 
-// Status returns the instance's state and its view of the fleet.
+// Status returns the state of the client's own instance and that instance's view of the fleet.
 func (cl *Client) Status(ctx context.Context) (entry.Status, error) {
 	var status entry.Status
 	err := cl.call(ctx, http.MethodGet, "/operator/v1/status", nil, &status)
 	return status, err
 }
 
-// Report returns the instance's measurements.
+// Report returns the measurements of the client's own instance.
 func (cl *Client) Report(ctx context.Context) (meter.Report, error) {
 	var rp meter.Report
 	err := cl.call(ctx, http.MethodGet, "/operator/v1/report", nil, &rp)
 	return rp, err
 }
 
-// Config returns the configuration in force at the instance.
+// Config returns the configuration in force at the client's own instance.
 func (cl *Client) Config(ctx context.Context) (*decl.Config, error) {
 	cfg := &decl.Config{}
 	err := cl.call(ctx, http.MethodGet, "/operator/v1/config", nil, cfg)
@@ -145,43 +147,46 @@
 	return patches, err
 }
 
-// Submit sends a patch and returns the version that it became. After an Unreachable error the same patch may be sent again:
-// it is applied only once.
+// Submit sends a patch and returns the version number that the patch was given. After an Unreachable error the same
+// patch may be sent again: it is applied only once.
 func (cl *Client) Submit(ctx context.Context, patch conf.Patch) (int64, error) {
 	var accepted entry.PatchAccepted
 	err := cl.call(ctx, http.MethodPost, "/operator/v1/config/patches", patch, &accepted)
 	return accepted.Version, err
 }
 
-// maxParallel is the maximum number of concurrent requests to instances.
+// maxParallel is the maximum number of instances that queryAll queries at the same time.
 const maxParallel = 16
 
-// Fleet returns the status of every instance that this one lists, and the names of those that did not respond.
+// Fleet returns the status of the client's own instance and of every instance that this one lists, and the names of those
+// whose query failed.
 func (cl *Client) Fleet(ctx context.Context) (statuses []entry.Status, missing []string, err error) {
-	first, err := cl.Status(ctx)
+	ownStatus, err := cl.Status(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	statuses, missing = queryAll(cl, first, func(at *Client) (entry.Status, error) { return at.Status(ctx) })
+	statuses, missing = queryAll(cl, ownStatus, func(target *Client) (entry.Status, error) { return target.Status(ctx) })
 	return statuses, missing, nil
 }
 
-// FleetReport merges the measurements of every instance that this one lists. Missing names those that did not respond.
+// FleetReport merges the measurements of the client's own instance and of every instance that this one lists. The report's
+// Missing field names those whose query failed.
 func (cl *Client) FleetReport(ctx context.Context) (meter.Report, error) {
-	first, err := cl.Status(ctx)
+	ownStatus, err := cl.Status(ctx)
 	if err != nil {
 		return meter.Report{}, err
 	}
-	reports, missing := queryAll(cl, first, func(at *Client) (meter.Report, error) { return at.Report(ctx) })
+	reports, missing := queryAll(cl, ownStatus, func(target *Client) (meter.Report, error) { return target.Report(ctx) })
 	return meter.Merge(append(reports, meter.Report{Missing: missing})), nil
 }
 
-// queryAll queries the client's own instance, whose status is first, and all others that the status lists.
-func queryAll[Response any](cl *Client, first entry.Status, query func(at *Client) (Response, error)) (reachable []Response, missing []string) {
+// queryAll queries the client's own instance, whose status is ownStatus, and all others that this status lists. It returns
+// the responses and the names of the instances whose query failed.
+func queryAll[Response any](cl *Client, ownStatus entry.Status, query func(target *Client) (Response, error)) (received []Response, missing []string) {
 	clients := []*Client{cl}
-	names := []string{first.Instance}
-	for _, inst := range first.Instances {
-		if inst.Name != first.Instance {
+	names := []string{ownStatus.Instance}
+	for _, inst := range ownStatus.Instances {
+		if inst.Name != ownStatus.Instance {
 			clients = append(clients, cl.withAddress(inst.Address))
 			names = append(names, inst.Name)
 		}
@@ -190,9 +195,9 @@
 	errs := make([]error, len(clients))
 	var group errgroup.Group
 	group.SetLimit(maxParallel)
-	for i, at := range clients {
+	for i, target := range clients {
 		group.Go(func() error {
-			responses[i], errs[i] = query(at)
+			responses[i], errs[i] = query(target)
 			return nil
 		})
 	}
@@ -202,12 +207,12 @@
 			missing = append(missing, name)
 			continue
 		}
-		reachable = append(reachable, responses[i])
+		received = append(received, responses[i])
 	}
-	return reachable, missing
+	return received, missing
 }
 
-// maxResponseBytes bounds the part of a response body that is read.
+// maxResponseBytes is how much of a response body is read at most. The rest is ignored.
 const maxResponseBytes = 64 << 20
 
 func (cl *Client) call(ctx context.Context, method, path string, in, out any) error {
@@ -234,12 +239,13 @@
 		return responseError(resp.StatusCode, limited)
 	}
 	if err := json.NewDecoder(limited).Decode(out); err != nil {
-		return Unreachable.Wrap(err, "oper: the response of %s is not JSON; check that --server names an entry instance", cl.baseURL)
+		return Unreachable.Wrap(err, "oper: the response from %s is not the expected JSON; check that --server names an entry instance", cl.baseURL)
 	}
 	return nil
 }
 
-// responseError decodes an error response, which has the form of PatchRefused or of the API's error object.
+// responseError returns the error for a response whose status is not 2xx. Its body is a PatchRefused or has an error object
+// with a message, so one of the two decoded messages is empty.
 func responseError(status int, body io.Reader) error {
 	var answer struct {
 		entry.PatchRefused
@@ -248,7 +254,7 @@
 		} `json:"error"`
 	}
 	if err := json.NewDecoder(body).Decode(&answer); err != nil {
-		return Refused.New("oper: the instance answered with status %d and no JSON error; check that --server names an entry instance", status)
+		return Refused.New("oper: the instance responded with status %d and a body that is not a JSON error; check that --server names an entry instance", status)
 	}
 	message := answer.Message + answer.Error.Message
 	switch status {
--- a/internal/route/prefix.go
+++ b/internal/route/prefix.go
@@ -7,31 +7,33 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// The prefix index records which replicas have which leading blocks of prompts in their cache. Its sources are the requests
-// that this instance sent and the engines' cache events. Events arrive late and with gaps, so entries expire: a gap makes
-// them uncertain, and those that no event confirms are dropped.
+// The prefix index records which replicas have which prefixes of prompts in their cache. A prefix is a number of leading
+// blocks of a prompt. An entry is either a hint, recorded when this instance sent a request, or confirmed, by one of the
+// engine's cache events. Events arrive late and with gaps, so entries expire: a gap makes confirmed ones uncertain, and
+// hints that no event confirms no longer count after a while.
 const (
-	// maxPrefixes is the maximum number of prefixes in the index; the oldest are evicted first. At about 90 bytes per entry
-	// the index stays under 12 MB.
+	// maxPrefixes is the maximum number of prefixes in the index; those inserted first are evicted first. At about 90 bytes per
+	// prefix the index stays under 12 MB.
 	maxPrefixes = 1 << 17
 	// maxHolders is the maximum number of replicas recorded for one prefix.
 	maxHolders = 3
-	// hintTTL is how long an unconfirmed entry is valid if the replica has sent no cache events at all.
+	// hintTTL is how long a hint is valid if the replica has sent no cache events at all.
 	hintTTL = time.Minute
-	// confirmTimeout is how long an unconfirmed entry is valid if the replica sends cache events.
+	// confirmTimeout is how long a hint is valid if the replica sends cache events, one of which should confirm it by then.
 	confirmTimeout = 10 * time.Second
-	// uncertainTTL is how long a confirmed entry from before a gap in the events is still used, with confidenceUncertain.
+	// uncertainTTL is how long after a gap in the events a confirmed entry from before it is still used, with
+	// confidenceUncertain.
 	uncertainTTL = 30 * time.Second
-	// maxEventLag is the maximum delay of a removal event. One that arrives sooner than this after a request was sent may be
-	// older than the request and is ignored.
+	// maxEventLag is the assumed maximum delay of a removal event. An event that arrives sooner than this after a request was
+	// sent may be older than the request, so it does not remove the request's hint.
 	maxEventLag = time.Second
 )
 
-// Shares of a prefix that count as cached.
+// The confidence in an entry is the share of the prefix's tokens that counts as cached at the replica.
 const (
 	// confidenceConfirmed is for an entry that a cache event confirmed.
 	confidenceConfirmed = 1
-	// confidenceHint is for an entry recorded when a request was sent.
+	// confidenceHint is for a hint that is still valid.
 	confidenceHint = 0.9
 	// confidenceUncertain is for a confirmed entry from before a gap in the events.
 	confidenceUncertain = 0.5
@@ -39,28 +41,29 @@
 
 // cacheState tracks the sequence of a replica's cache events.
 type cacheState struct {
-	// nextSequence is the sequence number expected at the start of the next batch, 0 before the first batch.
+	// nextSequence is the sequence number that the next batch should start with, 0 before the first batch.
 	nextSequence int64
-	// epoch counts how often the cache was cleared. Holders of an older epoch are invalid.
+	// epoch counts how often the cache was cleared or the engine restarted. Holders of an older epoch are invalid.
 	epoch uint32
-	// gapAt is when the last gap was detected.
+	// gapAt is when the last gap was detected, zero if there was none.
 	gapAt time.Time
 }
 
-// holder records that a replica has a prefix in its cache.
+// holder is an entry of the index: it records that a replica has a prefix in its cache.
 type holder struct {
 	rep *Replica
 	// epoch is the epoch of the replica's cache when the holder was recorded.
 	epoch uint32
-	// confirmed reports whether a cache event confirmed the holder.
+	// confirmed reports whether a cache event confirmed the holder. Otherwise it is a hint.
 	confirmed bool
-	at        time.Time
+	// at is when the holder was recorded last.
+	at time.Time
 }
 
 // prefixIndex finds holders by prefix hash.
 type prefixIndex struct {
 	holders map[uint64][]holder
-	// ring holds the hashes in the order of insertion.
+	// ring holds the hashes of holders in the order of insertion. Once it is full, new hashes overwrite the oldest ones.
 	ring []uint64
 	// oldest is the index in ring of the oldest hash once ring is full.
 	oldest int
@@ -70,12 +73,13 @@
 	return prefixIndex{holders: map[uint64][]holder{}}
 }
 
-// add records a holder of the prefix. It keeps the confirmation of an entry for the same replica unless the cache was
-// cleared or a gap was detected since. The holder added first is replaced if there are maxHolders already.
+// add records a holder of the prefix, in place of an earlier one for the same replica. If that one was confirmed, the new
+// one is as well, unless the cache was cleared or a gap was detected since. If there are maxHolders for other replicas, the
+// one that was added first is dropped.
 func (pi *prefixIndex) add(hash uint64, hd holder) {
 	known, ok := pi.holders[hash]
 	if !ok {
-		pi.insert(hash)
+		pi.addToRing(hash)
 	}
 	for i := range known {
 		if known[i].rep == hd.rep {
@@ -92,8 +96,8 @@
 	pi.holders[hash] = append(known, hd)
 }
 
-// insert adds a new hash to the ring and evicts the oldest one if the ring is full.
-func (pi *prefixIndex) insert(hash uint64) {
+// addToRing adds a new hash to the ring and evicts the oldest one if the ring is full.
+func (pi *prefixIndex) addToRing(hash uint64) {
 	if len(pi.ring) < maxPrefixes {
 		pi.ring = append(pi.ring, hash)
 		return
@@ -103,8 +107,7 @@
 	pi.oldest = (pi.oldest + 1) % maxPrefixes
 }
 
-// remove removes the replica from the holders of the prefix, unless the entry is a hint that is more recent than
-// maxEventLag.
+// remove removes the replica from the holders of the prefix, unless its entry is a hint that is not older than maxEventLag.
 func (pi *prefixIndex) remove(now time.Time, hash uint64, rep *Replica) {
 	known := pi.holders[hash]
 	for i := range known {
@@ -144,11 +147,11 @@
 	return 0
 }
 
-// Not every prefix of a long prompt is indexed, so that the longest prompt takes about a hundred entries.
+// Not every prefix of a long prompt is indexed, so that even the longest prompt takes only about a hundred entries.
 const (
 	// denseBlocks is the number of blocks up to which each prefix is indexed.
 	denseBlocks = 16
-	// middleBlocks is the number of blocks up to which a prefix is indexed every middleStep blocks.
+	// middleBlocks is the number of blocks up to which, beyond denseBlocks, every middleStep-th prefix is indexed.
 	middleBlocks = 256
 	// middleStep is the distance in blocks between the indexed prefixes from denseBlocks to middleBlocks.
 	middleStep = 16
@@ -156,8 +159,8 @@
 	coarseStep = 64
 )
 
-// indexedCount returns the number of indexed prefixes of a prompt with that many blocks. The whole prompt, which addHint
-// also indexes, is not counted unless it lies on a step.
+// indexedCount returns the number of indexed prefixes of a prompt with that many blocks. addHint also indexes the whole
+// prompt, which is counted only if its number of blocks is one of those that indexedBlocks returns.
 func indexedCount(blocks int) int {
 	switch {
 	case blocks <= denseBlocks:
@@ -169,7 +172,7 @@
 	}
 }
 
-// indexedBlocks returns the number of blocks of the indexed prefix with the index, counted from 0 for the shortest one.
+// indexedBlocks returns the length in blocks of an indexed prefix. Index 0 is the shortest one.
 func indexedBlocks(index int) int {
 	const middleCount = denseBlocks + (middleBlocks-denseBlocks)/middleStep
 	switch {
@@ -194,20 +197,20 @@
 	}
 }
 
-// longest returns the holders of the longest indexed prefix of the prompt and its length in tokens. A cache that holds a
-// prefix holds all shorter ones, so it uses a binary search.
+// longest returns the holders of the longest indexed prefix of the prompt that has any, and the length of that prefix in
+// tokens. A cache that holds a prefix holds all shorter ones, so a binary search finds it.
 func (pi *prefixIndex) longest(prefixes []uint64) ([]holder, int64) {
 	low, high := 0, indexedCount(len(prefixes))
 	var best []holder
 	for low < high {
-		middle := (low + high) / 2
-		known := pi.holders[prefixes[indexedBlocks(middle)-1]]
+		probe := (low + high) / 2
+		known := pi.holders[prefixes[indexedBlocks(probe)-1]]
 		if len(known) == 0 {
-			high = middle
+			high = probe
 			continue
 		}
 		best = known
-		low = middle + 1
+		low = probe + 1
 	}
 	if low == 0 {
 		return nil, 0
--- a/internal/steer/batch.go
+++ b/internal/steer/batch.go
@@ -72,7 +72,7 @@
 
 // recipients counts the other instances that use the subset.
 func (st *State) recipients(sub subset) int {
-	if names := st.users(sub); names != nil {
+	if names := st.usersUnlessAll(sub); names != nil {
 		return len(names)
 	}
 	return st.live - 1
@@ -180,7 +180,7 @@
 		if !pend.due.After(st.now) {
 			delete(st.outbox, sub)
 			st.allowance.messages -= float64(st.recipients(sub))
-			st.emit(SendNote{Note: st.note(st.withCurrentAges(pend)), To: st.users(sub)})
+			st.emit(SendNote{Note: st.note(st.withCurrentAges(pend)), To: st.usersUnlessAll(sub)})
 			continue
 		}
 		if next.IsZero() || pend.due.Before(next) {
--- a/internal/steer/limit.go
+++ b/internal/steer/limit.go
@@ -161,7 +161,7 @@
 
 // sendLimit sends the limit to all instances that may use the replica, or only to the one that grants sends to it.
 func (st *State) sendLimit(rep *replica, lim Limit, all bool) {
-	to := st.users(st.granters(rep))
+	to := st.usersUnlessAll(st.granters(rep))
 	if !all {
 		granter := st.granter(rep)
 		if granter == st.Options.Name {
@@ -184,7 +184,7 @@
 	}
 	for _, sub := range sortedSubsets(limits) {
 		for part := range slices.Chunk(limits[sub], maxSummaryJobs) {
-			st.emit(SendNote{Note: st.note(Note{Limits: part}), To: st.users(sub)})
+			st.emit(SendNote{Note: st.note(Note{Limits: part}), To: st.usersUnlessAll(sub)})
 		}
 	}
 }
--- a/internal/steer/loadquery.go
+++ b/internal/steer/loadquery.go
@@ -108,5 +108,5 @@
 		nt.Jobs = append(nt.Jobs, Job{ID: JobID(id), Replicas: []string{ev.Replica}, Prompt: max(0, ev.Used) / int64(ev.Running), Begun: true})
 	}
 	st.receiveNote(nt)
-	st.emit(SendNote{Note: nt, To: st.users(st.audience(rep))})
+	st.emit(SendNote{Note: nt, To: st.usersUnlessAll(st.audience(rep))})
 }
--- a/internal/steer/peer.go
+++ b/internal/steer/peer.go
@@ -93,7 +93,7 @@
 
 // sendSummary sends the jobs to the users of the subset, split into as many notes as needed.
 func (st *State) sendSummary(sub subset, kept []JobID, jobs []Job) {
-	to := st.users(sub)
+	to := st.usersUnlessAll(sub)
 	first := min(len(jobs), maxSummaryJobs)
 	st.emit(SendNote{Note: st.note(Note{Full: true, OpenJobs: kept, Jobs: jobs[:first], Demand: st.demand.decayed(st.now)}), To: to})
 	for part := range slices.Chunk(jobs[first:], maxSummaryJobs) {
--- a/internal/steer/retry.go
+++ b/internal/steer/retry.go
@@ -80,7 +80,7 @@
 	}
 	eng := st.serviceOf(rep.Service).engine
 	if eng == nil {
-		return !st.plainNotesAreLocal()
+		return !st.plainNotesStayInDomain()
 	}
 	return rep.free(eng) >= req.tokens()
 }
--- a/internal/steer/state.go
+++ b/internal/steer/state.go
@@ -216,7 +216,7 @@
 	case Configured:
 		st.configured(ev)
 	case Peered:
-		st.updatePeers(ev)
+		st.updateOthers(ev)
 	case NoteReceived:
 		st.receiveNote(ev.Note)
 	case LoadReported:
--- a/internal/steer/subset.go
+++ b/internal/steer/subset.go
@@ -11,26 +11,28 @@
 
 // Subsets of replicas. With hundreds of instances and hundreds of replicas, an instance can neither evaluate every replica
 // for each request nor notify every other instance of each request that it sends. The replicas of a large service are
-// therefore split into subsets. Each instance uses one of them and sends its notes only to the other instances that use it,
-// so that the cost of a decision and the number of messages for it do not grow with the fleet. Where the failure domains are
-// large enough, a subset lies within one of them, since traffic between failure domains is slower and charged for. All
-// instances that know the same replicas and the same instances compute the same split. While their knowledge differs, some
-// load goes unreported for a moment.
+// therefore split into subsets. Each instance uses one subset of each service. It sends its notes, the messages about its
+// work, only to the other instances that use the same subset, so that the cost of a decision and the number of messages for
+// it do not grow with the fleet. Where the failure domains are large enough, a subset lies within one of them, since traffic
+// between failure domains is slower and charged for. All instances that know the same replicas and the same instances
+// compute the same split. While their knowledge differs, some load goes unreported for a moment.
 
 const (
 	// minSplitReplicas is the number of replicas from which a service is split. All instances use all replicas of a smaller
-	// one.
+	// service.
 	minSplitReplicas = 64
-	// minSubsetReplicas is the minimum average number of replicas in a subset: as many as may read one prompt together.
+	// minSubsetReplicas is the minimum average number of replicas in a subset: as many as may read parts of one prompt
+	// together, by the default of Tuning.MaxEngines.
 	minSubsetReplicas = 16
 	// minSubsetInstances is the minimum average number of instances that use a subset. With fewer, some subset could be left
 	// without instances and its replicas without work.
 	minSubsetInstances = 8
-	// minUsableReplicas is how many replicas of its subset must be usable. With fewer, an instance considers all replicas of
-	// the service.
+	// minUsableReplicas is how many usable replicas an instance's subset must have. If it has fewer, the instance considers
+	// all replicas of the service.
 	minUsableReplicas = minSubsetReplicas / 2
-	// maxPlainAudience is the largest fleet, in instances, in which all receive a note of each call to a plain service. In a
-	// larger one only those of the same failure domain do, whose replicas are preferred.
+	// maxPlainAudience is the number of instances up to which all of them receive a note about each call to a plain service.
+	// In a larger fleet only the instances in the sender's failure domain do, since a plain call goes preferably to a replica
+	// in the same failure domain.
 	maxPlainAudience = 128
 )
 
@@ -43,42 +45,45 @@
 // subset identifies some of a service's replicas and the instances that use them. The zero value stands for all replicas and
 // all instances.
 type subset struct {
-	// domain is the failure domain of the subset, or empty if failure domains are too small to be split separately.
+	// domain is the failure domain of the subset. It is empty if the service is split as a whole, because it has only one
+	// failure domain or some are too small to be split separately.
 	domain string
-	// part is the index of the subset within the failure domain, from 0.
+	// part is the index of the subset within the failure domain or the service, from 0.
 	part int
-	// parts is the number of subsets of the failure domain.
+	// parts is the number of subsets of the failure domain or the service.
 	parts int
 }
 
-// sortedSubsets returns the keys in a fixed order, so that the effects of an instance depend on its events alone and not on
-// the order of map iteration.
+// sortedSubsets returns the keys in a fixed order, so that the effects that an instance emits depend on its events
+// alone and not on the order of map iteration.
 func sortedSubsets[Value any](bySubset map[subset]Value) []subset {
 	return slices.SortedFunc(maps.Keys(bySubset), func(a, b subset) int {
 		return cmp.Or(cmp.Compare(a.domain, b.domain), cmp.Compare(a.part, b.part), cmp.Compare(a.parts, b.parts))
 	})
 }
 
-// layout is the split of a service's replicas and of the instances into subsets. The zero value is unsplit.
+// layout is how a service's replicas and the instances are split into subsets. The zero value leaves the service unsplit.
 type layout struct {
+	// byDomain reports whether each failure domain is split separately.
 	byDomain bool
-	// parts is the number of subsets of each failure domain, or under the empty name that of the service if byDomain is
-	// false.
+	// parts is the number of subsets of each failure domain. If byDomain is false, it holds the number of subsets of the
+	// service under the empty name.
 	parts map[string]int
 }
 
-func (lay *layout) undivided() bool { return len(lay.parts) == 0 }
+func (lay *layout) unsplit() bool { return len(lay.parts) == 0 }
 
-// subsetFor returns the subset of a replica or instance in the failure domain. rank returns its index for a number of parts.
-func (lay *layout) subsetFor(domain string, rank func(parts int) int) subset {
-	if lay.undivided() {
+// subsetFor returns the subset of a replica or instance that is in the failure domain. partAmong returns the index of its
+// subset among the given number of them.
+func (lay *layout) subsetFor(domain string, partAmong func(parts int) int) subset {
+	if lay.unsplit() {
 		return subset{}
 	}
 	if !lay.byDomain {
 		domain = ""
 	}
 	parts := max(1, lay.parts[domain])
-	return subset{domain: domain, part: rank(parts), parts: parts}
+	return subset{domain: domain, part: partAmong(parts), parts: parts}
 }
 
 // ofReplica returns the subset that contains the replica, by a hash of its name.
@@ -86,8 +91,9 @@
 	return lay.subsetFor(rep.FailureDomain, func(parts int) int { return int(xxhash.Sum64String(rep.Name) % uint64(parts)) })
 }
 
-// ofInstance returns the subset that an instance uses. It is chosen by rendezvous hashing of both names, so that few
-// instances change their subset when the number of subsets changes.
+// ofInstance returns the subset that an instance uses. It is chosen by rendezvous hashing: each subset is ranked by a hash of
+// the instance's name and the subset's index. When the number of subsets changes, only those instances change their subset that
+// move to an added one or from a removed one.
 func (lay *layout) ofInstance(inst Instance) subset {
 	return lay.subsetFor(inst.FailureDomain, func(parts int) int {
 		best, highest := 0, uint64(0)
@@ -100,15 +106,17 @@
 	})
 }
 
-// layoutOf returns the split of the service. It is cached until the replicas, the instances or the configuration change.
+// layoutOf returns the layout of the service. It is cached until the service's replicas, the instances or the configuration
+// change.
 func (st *State) layoutOf(svc *service) *layout {
 	if svc.layout == nil {
-		svc.layout = st.split(svc)
+		svc.layout = st.newLayout(svc)
 	}
 	return svc.layout
 }
 
-func (st *State) split(svc *service) *layout {
+// newLayout computes the layout of the service. A plain service, which has no engine, is never split.
+func (st *State) newLayout(svc *service) *layout {
 	if svc.engine == nil || len(svc.replicas) < minSplitReplicas {
 		return &layout{}
 	}
@@ -131,8 +139,9 @@
 	return &layout{parts: map[string]int{"": parts}}
 }
 
-// canSplitByDomain reports whether each failure domain has enough replicas and instances for subsets of its own. Otherwise
-// some of its replicas could be left without users or some of its instances without replicas.
+// canSplitByDomain reports whether each failure domain has enough replicas and instances for subsets of its own. If one had
+// not, some of that domain's replicas could be left without users or some of its instances without replicas. The maps hold
+// the numbers of replicas and of instances by failure domain; total is the number of all replicas.
 func canSplitByDomain(replicas, instances map[string]int, total int) bool {
 	if len(replicas) < 2 || total < minSubsetReplicas*len(replicas) {
 		return false
@@ -151,7 +160,7 @@
 }
 
 // partCount returns the number of subsets for the given numbers of replicas and instances. It is a power of two, so that
-// growth splits a subset in halves.
+// growth splits each subset in halves.
 func partCount(replicas, instances int) int {
 	parts := 1
 	for parts*2*minSubsetReplicas <= replicas && parts*2*minSubsetInstances <= instances {
@@ -176,11 +185,11 @@
 // ownSubset returns the subset of the service that this instance uses.
 func (st *State) ownSubset(svc *service) subset { return st.layoutOf(svc).ofInstance(st.self()) }
 
-// candidates returns the replicas that this instance considers for a request. If too few replicas of its subset are usable,
-// as after the loss of a failure domain's replicas, these are all replicas of the service.
+// candidates returns the replicas that this instance considers for a request: those of its subset. If too few of them are
+// usable, as after the loss of a failure domain's replicas, it returns all replicas of the service.
 func (st *State) candidates(svc *service) []*replica {
 	lay := st.layoutOf(svc)
-	if lay.undivided() {
+	if lay.unsplit() {
 		return svc.replicas
 	}
 	if svc.candidates == nil {
@@ -204,21 +213,23 @@
 	return svc.candidates
 }
 
-// audience returns the subset whose users must receive notes about work at the replica.
+// audience returns the subset whose users, the instances that use it, must receive notes about work at the replica. For a
+// plain service in a large fleet this is the whole failure domain of this instance.
 func (st *State) audience(rep *replica) subset {
 	svc := st.serviceOf(rep.Service)
-	if svc.engine == nil && st.plainNotesAreLocal() {
+	if svc.engine == nil && st.plainNotesStayInDomain() {
 		return subset{domain: st.Options.FailureDomain, parts: 1}
 	}
 	return st.layoutOf(svc).ofReplica(rep)
 }
 
-// plainNotesAreLocal reports whether notes about calls to plain services are sent only within the failure domain.
-func (st *State) plainNotesAreLocal() bool { return st.live > maxPlainAudience }
+// plainNotesStayInDomain reports whether notes about calls to plain services are sent only within this instance's failure
+// domain.
+func (st *State) plainNotesStayInDomain() bool { return st.live > maxPlainAudience }
 
-// users returns the names of the other instances that use the subset, or nil if all of them do. The names are cached until
-// the instances change.
-func (st *State) users(sub subset) []string {
+// usersUnlessAll returns the names of the other instances that use the subset. For the zero subset, which all of them use, it
+// returns nil. The names are cached until the instances change.
+func (st *State) usersUnlessAll(sub subset) []string {
 	if sub == (subset{}) {
 		return nil
 	}
@@ -236,16 +247,16 @@
 	return names
 }
 
-// othersUsing returns the names of the other instances that use the subset. For the zero subset these are all of them.
+// othersUsing is usersUnlessAll, except that it returns the names of all other instances for the zero subset.
 func (st *State) othersUsing(sub subset) []string {
-	if names := st.users(sub); names != nil {
+	if names := st.usersUnlessAll(sub); names != nil {
 		return names
 	}
 	return st.otherNames
 }
 
-// updatePeers replaces the list of the other instances.
-func (st *State) updatePeers(ev Peered) {
+// updateOthers replaces the list of the other instances.
+func (st *State) updateOthers(ev Peered) {
 	st.others = slices.SortedFunc(slices.Values(ev.Instances), func(a, b Instance) int { return cmp.Compare(a.Name, b.Name) })
 	st.otherNames = st.otherNames[:0]
 	for _, inst := range st.others {
@@ -258,24 +269,25 @@
 	}
 }
 
-// resetLayout discards the cached split of the service.
+// resetLayout discards the cached layout and candidates of the service.
 func (svc *service) resetLayout() {
 	svc.layout = nil
 	svc.candidates = nil
 }
 
 // queriesLoad reports whether this instance should query the replica for its load. Of the instances that use the replica's
-// subset, the first by name does; instances from which no note has arrived are ignored.
+// subset, only the first by name does. An instance that is not heard, as peerPrecedes checks, is passed over.
 func (st *State) queriesLoad(svc *service, rep *replica) bool {
 	sub := st.layoutOf(svc).ofReplica(rep)
 	if sub == (subset{}) {
 		return !slices.ContainsFunc(slices.Collect(maps.Keys(st.peers)), st.peerPrecedes)
 	}
-	return sub == st.ownSubset(svc) && !slices.ContainsFunc(st.users(sub), st.peerPrecedes)
+	return sub == st.ownSubset(svc) && !slices.ContainsFunc(st.usersUnlessAll(sub), st.peerPrecedes)
 }
 
-// peerPrecedes reports whether notes arrive from the instance and its name sorts before this instance's name.
+// peerPrecedes reports whether the instance is heard and its name sorts before this instance's name. It is heard once a note
+// has arrived from it, until dropPeer forgets it.
 func (st *State) peerPrecedes(name string) bool {
-	_, live := st.peers[name]
-	return live && name < st.Options.Name
+	_, heard := st.peers[name]
+	return heard && name < st.Options.Name
 }
--- a/internal/steer/subset_test.go
+++ b/internal/steer/subset_test.go
@@ -61,7 +61,7 @@
 			svc := st.services["lyric"]
 			considered := len(st.candidates(svc))
 			notified := tc.instances - 1
-			if names := st.users(st.ownSubset(svc)); names != nil {
+			if names := st.usersUnlessAll(st.ownSubset(svc)); names != nil {
 				notified = len(names)
 			}
 			assert.Assert(t, considered <= tc.candidates && considered >= min(tc.engines, minSubsetReplicas/2), considered)
@@ -91,7 +91,7 @@
 			}
 			assert.Equal(t, len(users), fl.engines)
 			for rep, names := range users {
-				notified := sts[names[0]].users(sts[names[0]].audience(sts[names[0]].replicas[rep]))
+				notified := sts[names[0]].usersUnlessAll(sts[names[0]].audience(sts[names[0]].replicas[rep]))
 				for _, other := range names[1:] {
 					assert.Assert(t, notified == nil || slices.Contains(notified, other))
 				}
@@ -107,7 +107,7 @@
 	for _, rep := range st.candidates(st.services["lyric"]) {
 		assert.Equal(t, rep.FailureDomain, st.Options.FailureDomain)
 	}
-	for _, name := range st.users(st.audience(st.replicas["board-0"])) {
+	for _, name := range st.usersUnlessAll(st.audience(st.replicas["board-0"])) {
 		at := slices.IndexFunc(st.others, func(inst Instance) bool { return inst.Name == name })
 		assert.Equal(t, st.others[at].FailureDomain, st.Options.FailureDomain)
 	}
@@ -123,7 +123,7 @@
 	}
 	assert.Equal(t, len(st.candidates(svc)), 2250)
 	far := st.replicas["engine-1"]
-	notified := st.users(st.audience(far))
+	notified := st.usersUnlessAll(st.audience(far))
 	assert.Assert(t, len(notified) >= minSubsetInstances)
 	for _, name := range notified {
 		at := slices.IndexFunc(st.others, func(inst Instance) bool { return inst.Name == name })
--- a/pkg/decl/schema.go
+++ b/pkg/decl/schema.go
@@ -5,7 +5,8 @@
 	"reflect"
 )
 
-// Schema is the subset of JSON Schema (draft 2020-12) that describes the declarations.
+// Schema is a JSON Schema (draft 2020-12) with just the keywords that the declarations need.
+// AdditionalProperties is a *Schema for the values of a map, and false for a struct, which has no further fields.
 type Schema struct {
 	Schema               string             `json:"$schema,omitempty"`
 	Title                string             `json:"title,omitempty"`
@@ -17,10 +18,10 @@
 	AdditionalProperties any                `json:"additionalProperties,omitempty"`
 }
 
-// durationPattern matches the durations that time.ParseDuration accepts, without signs.
+// durationPattern describes a Duration without a sign, in the units of time.ParseDuration, such as "1m30s".
 const durationPattern = `^([0-9.]+(ns|us|µs|ms|s|m|h))+$`
 
-// enums lists the accepted values of fields, by the names of type and field.
+// enums lists the accepted values of a field. Its keys are the names of the type and of the field, joined by a dot.
 var enums = map[string][]string{
 	"Service.Kind":       {KindModel, KindPlain},
 	"Service.Discipline": {DisciplinePriority, DisciplineWeighted},
@@ -32,11 +33,13 @@
 	sc := schemaOf(reflect.TypeFor[Config]())
 	sc.Schema = "https://json-schema.org/draft/2020-12/schema"
 	sc.Title = "dandelionsail declarations"
+	// Files leave Version out: the log of patches numbers the versions.
 	delete(sc.Properties, "Version")
 	return sc
 }
 
 func schemaOf(typ reflect.Type) *Schema {
+	// Duration is the only declared type that implements it.
 	if typ.Implements(reflect.TypeFor[encoding.TextMarshaler]()) {
 		return &Schema{Type: "string", Pattern: durationPattern}
 	}
