--- a/internal/steer/cost.go
+++ b/internal/steer/cost.go
@@ -7,14 +7,15 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// The cost of a placement: the value of the answers that it is expected to make late.
+// The cost of a placement: the value of the answers that it is expected to make late, and of the streams that it is
+// expected to pause for too long.
 
-// maxBacklog caps the contribution of one engine to the mean backlog, in seconds.
+// maxBacklog is the maximum backlog of one engine, in seconds, that counts in the mean backlog.
 const maxBacklog = 4.0
 
-// meanBacklog returns the mean time in seconds that the usable candidates need to read the prompts sent to them. Prompts
-// that still wait at the instances are left out: the longest ones would raise the price of engine time until nothing was
-// sent at all.
+// meanBacklog returns the mean time in seconds that the usable replicas among the service's candidates need to read the
+// prompts sent to them. Prompts that still wait at the instances are left out: the longest ones would raise the price
+// of engine time until nothing was sent at all.
 func (st *State) meanBacklog(svc *service) float64 {
 	if svc.engine == nil {
 		return 0
@@ -53,7 +54,8 @@
 	return math.Pow((estimate/left-tune.RiskFrom)/(tune.RiskTo-tune.RiskFrom), tune.RiskPower)
 }
 
-// pauseLoss returns the loss of a stream's value by a pause in ms: the stream counts as late, or its caller leaves.
+// pauseLoss returns what a stream loses of its value by a pause of the given ms: nothing if the pause is allowed,
+// LateShare if the stream counts as late, LeaveCost if its caller leaves.
 func (tune *Tuning) pauseLoss(wk *work, pause float64) float64 {
 	switch {
 	case wk.gap <= 0 || pause <= tune.GapSafety*ms(wk.gap):
@@ -64,15 +66,17 @@
 	return wk.value * tune.LeaveCost
 }
 
-// ownPauseLoss returns the loss of the request's own value if every pass of the engine is longer than the pause that its
-// caller was promised. It keeps streams off an engine that has become several times slower than declared but still answers.
+// ownPauseLoss returns the loss of the request's own value if every pass of the engine, even one without prefill, is
+// longer than the longest pause that its caller was promised. It keeps streams off an engine that has become several
+// times slower than declared but still answers.
 func (st *State) ownPauseLoss(eng *decl.Engine, req *request, fc *forecast) float64 {
 	wk := work{gap: req.gap, leaves: req.LeavesAt.Sub(req.at), value: req.value}
 	return st.tune.pauseLoss(&wk, fc.slow*float64(eng.Stride)*fc.step)
 }
 
-// harmToOthers returns the value that the replica's other requests lose additionally if it reads this part too. Its prefill
-// lengthens the next pass: streams pause until the pass ends, and answers that wait for the same pass begin at its end.
+// harmToOthers returns the value that the replica's other requests lose additionally if it reads this part too. Its
+// prefill lengthens the next pass: streams pause until the pass ends, and answers that wait for the same pass begin at
+// its end. The delay of parts that it reads as a helper is not counted.
 func (st *State) harmToOthers(rep *replica, fc *forecast, part decl.PrefillWork) float64 {
 	pauseBefore, pauseAfter := fc.pause(decl.PrefillWork{}), fc.pause(part)
 	firstBefore, firstAfter := fc.firstEvent(decl.PrefillWork{}), fc.firstEvent(part)
@@ -91,8 +95,9 @@
 	return lost
 }
 
-// spreadCost returns the cost of a stream with a short gap on an engine that has few such streams. It concentrates them on
-// few engines, so that the other engines stay free for long prompts.
+// spreadCost returns the cost of the request's stream on the replica, which is higher the shorter the stream's gap is
+// and the fewer streams with at most that gap the replica has. It concentrates streams with short gaps on few engines,
+// so that the other engines stay free for long prompts.
 func (tune *Tuning) spreadCost(rep *replica, req *request) float64 {
 	alike := 0
 	for i := range rep.works {
@@ -100,6 +105,6 @@
 			alike++
 		}
 	}
-	room := max(0, 1-float64(alike)/(tune.FullShare*float64(rep.Slots)))
-	return room * tune.SpreadCost * float64(time.Second) / float64(max(req.gap, 100*time.Millisecond))
+	otherShare := max(0, 1-float64(alike)/(tune.FullShare*float64(rep.Slots)))
+	return otherShare * tune.SpreadCost * float64(time.Second) / float64(max(req.gap, 100*time.Millisecond))
 }
--- a/internal/steer/place.go
+++ b/internal/steer/place.go
@@ -14,17 +14,20 @@
 
 // plan is the placement of a request.
 type plan struct {
-	// reps has the replica that answers first, then its helpers.
+	// reps holds the replica that answers, followed by its helpers.
 	reps []*replica
-	// reservations holds how many tokens of memory each helper reserves, nil if the first replica holds all.
+	// reservations holds how many tokens of memory each helper reserves, in the order of reps. Helpers beyond its end
+	// reserve none; it is nil if the replica that answers holds all.
 	reservations []int64
-	// part is the prefill time of each replica in ms.
+	// part is the time in ms that each replica takes for its part of the prompt if it has no other work.
 	part float64
-	// first is the estimated time to the first byte in ms.
+	// first is the estimated time to the first event of the answer in ms.
 	first float64
-	// cost is the value that callers lose.
+	// cost is the value that callers are expected to lose: that of the request, of other requests on the same engines,
+	// and of requests that the engine time displaces (see prices).
 	cost float64
-	// spreadCost counts in the choice between plans only, since no caller loses it.
+	// spreadCost is added to cost when plans are compared with each other, but not when a plan is compared with the value
+	// of the request, since no caller loses it.
 	spreadCost float64
 }
 
@@ -42,8 +45,8 @@
 // engineCounts are the numbers of engines that are considered for reading one prompt.
 var engineCounts = []int{1, 2, 3, 4, 6, 8, 10, 12, 14, 16}
 
-// place returns the cheapest plan, or false if no replica has room or an engine's plan costs more than the request may
-// cost now.
+// place returns the cheapest plan, or false if no replica has room or if the cheapest plan with engines costs more than
+// the request may cost now.
 func (st *State) place(req *request) (plan, bool) {
 	svc := st.services[req.service]
 	if svc == nil {
@@ -55,8 +58,8 @@
 	return st.placePrompt(svc, req)
 }
 
-// placePlain picks the plain replica with the fewest requests, with a preference for one in the same failure domain. A
-// slow replica, recent failures and a wait for a rate limit count as further requests.
+// placePlain picks the plain replica with the fewest requests, with a preference for one in the same failure domain.
+// The requests of a slow replica count more; recent failures and a wait for a rate limit count as further requests.
 func (st *State) placePlain(svc *service, req *request) (plan, bool) {
 	var best *replica
 	var minCost float64
@@ -68,7 +71,7 @@
 		if !ok || len(rep.works) >= rep.Slots+plainQueue {
 			continue
 		}
-		cost := float64(len(rep.works))*rep.slow + float64(rep.failures) + wait.Seconds()*waitCost
+		cost := float64(len(rep.works))*rep.slow + float64(rep.failures) + wait.Seconds()*waitSecondCost
 		if rep.FailureDomain != st.Options.FailureDomain {
 			cost += 0.5
 		}
@@ -83,36 +86,38 @@
 	return plan{reps: []*replica{best}}, true
 }
 
-// plainQueue is how many requests may wait at a plain replica beyond its slots. More wait here, in order of urgency.
+// plainQueue is how many requests may wait at a plain replica beyond its slots. All others wait at the instance, in
+// order of urgency.
 const plainQueue = 2
 
-// waitCost is the number of calls in progress at a plain replica that cost as much as a wait of one second for its rate
-// limit.
-const waitCost = 20
+// waitSecondCost is the number of requests in progress at a plain replica that cost as much as a wait of one second for
+// its rate limit.
+const waitSecondCost = 20
 
-// candidate is an engine that a request may use, whatever part of the prefill work it would get.
+// candidate is an engine that a request may use, with all that does not depend on how much of the prompt it would read.
 type candidate struct {
 	rep      *replica
 	estimate forecast
-	// readsLong is set while the engine reads a long prompt. It takes no part of another one then.
+	// readsLong is set while the engine reads a long prompt. Meanwhile it takes no long part of another prompt.
 	readsLong bool
-	// penalty makes the engine less attractive without costing any caller anything.
+	// penalty is added to the cost when engines are compared, although no caller loses it. A bonus is subtracted from it
+	// if a request should check whether the engine's rate limit still holds.
 	penalty float64
-	// spreadCost does the same if the engine is the one that answers.
+	// spreadCost is added likewise, but only if the engine is the one that answers.
 	spreadCost float64
-	// canAnswer is set if the engine has a slot to answer, and not only room to help.
+	// canAnswer is set if the engine has a free slot that the request may take, and not only room to help.
 	canAnswer bool
 	// freeTokens is the free memory in tokens.
 	freeTokens int64
-	// limited is set while the engine states a rate limit. Each part of a prompt and each order for its memory would
-	// count against that limit, so the engine helps with no prompt.
+	// limited is set while the engine states a rate limit. Each part of a prompt and each reservation of memory would
+	// count against that limit, so the engine takes no part of a prompt that several engines read.
 	limited bool
 }
 
 // quote is what a candidate costs with a given part of the prefill work.
 type quote struct {
 	*candidate
-	// harm is the value that the callers of its other requests lose.
+	// harm is the value that the callers of the engine's other requests lose.
 	harm float64
 	// answerTime is the time in ms until the answer would begin if the engine answers.
 	answerTime float64
@@ -120,7 +125,7 @@
 	helperTime float64
 	// latenessLoss is the request's own value that is lost if the engine answers and begins late.
 	latenessLoss float64
-	// pauseLoss is the request's own value that is lost by the pauses of its stream.
+	// pauseLoss is the request's own value that is lost by the pauses of its stream if the engine answers.
 	pauseLoss float64
 }
 
@@ -134,6 +139,8 @@
 	return qt.harm + qt.latenessLoss + qt.pauseLoss + qt.penalty + qt.spreadCost + idle*qt.answerTime/1000
 }
 
+// placePrompt returns the cheapest plan with any number of engines, or false if there is none or if it costs more than
+// the request may cost now.
 func (st *State) placePrompt(svc *service, req *request) (plan, bool) {
 	eng := svc.engine
 	price := st.pricesOf(svc)
@@ -179,19 +186,19 @@
 	part := eng.PrefillWork(req.Prompt, count)
 	quotes := st.quotes(eng, req, engines, part, count)
 	slices.SortStableFunc(quotes, func(a, b quote) int { return cmp.Compare(a.helperCost(price.idle), b.helperCost(price.idle)) })
-	first := answeringEngine(eng, req, quotes, price.idle)
-	if first < 0 || len(quotes) < count {
+	answering := answeringEngine(eng, req, quotes, price.idle)
+	if answering < 0 || len(quotes) < count {
 		return plan{}, false
 	}
-	pl := plan{part: part.AloneTime(eng), reps: []*replica{quotes[first].rep}}
-	pl.cost, pl.first = quotes[first].harm+quotes[first].pauseLoss, quotes[first].answerTime
-	pl.spreadCost = quotes[first].spreadCost
-	missing := req.tokens() - quotes[first].freeTokens
+	pl := plan{part: part.AloneTime(eng), reps: []*replica{quotes[answering].rep}}
+	pl.cost, pl.first = quotes[answering].harm+quotes[answering].pauseLoss, quotes[answering].answerTime
+	pl.spreadCost = quotes[answering].spreadCost
+	missing := req.tokens() - quotes[answering].freeTokens
 	for i := range quotes {
 		if len(pl.reps) == count {
 			break
 		}
-		if i == first || quotes[i].rep.helping() >= quotes[i].rep.Slots {
+		if i == answering || quotes[i].rep.helping() >= quotes[i].rep.Slots {
 			continue
 		}
 		pl.reps = append(pl.reps, quotes[i].rep)
@@ -214,7 +221,7 @@
 	return pl, true
 }
 
-// engines lists the engines that may take a part of the prefill work.
+// engines returns the engines that may read the prompt or a part of it.
 func (st *State) engines(svc *service, req *request) []candidate {
 	replicas := st.candidates(svc)
 	engines := make([]candidate, 0, len(replicas))
@@ -228,6 +235,7 @@
 			continue
 		}
 		cand := st.candidateOf(svc, req, rep)
+		// A wait for the rate limit delays the request as a longer rest of the current pass would.
 		cand.estimate.left += ms(wait)
 		cand.canAnswer = rep.running() < svc.engine.Slots && st.mayTakeSlot(rep, req, waiting)
 		engines = append(engines, cand)
@@ -235,7 +243,7 @@
 	return engines
 }
 
-// candidateOf returns the replica as a candidate for the request. The caller decides whether it can answer.
+// candidateOf returns the replica as a candidate for the request. canAnswer is left to the calling function.
 func (st *State) candidateOf(svc *service, req *request, rep *replica) candidate {
 	cand := candidate{rep: rep, limited: rep.limit != nil, estimate: rep.forecast(svc.engine, &st.tune, st.now), freeTokens: rep.free(svc.engine)}
 	cand.readsLong = st.readsLong(rep, &cand.estimate)
@@ -250,7 +258,8 @@
 	return cand
 }
 
-// quotes prices a part of the prefill work at each engine.
+// quotes returns what each engine costs if it reads the part, as one of count engines. It leaves out the engines that
+// may not read it.
 func (st *State) quotes(eng *decl.Engine, req *request, engines []candidate, part decl.PrefillWork, count int) []quote {
 	quotes := make([]quote, 0, len(engines))
 	long := part.AloneTime(eng) > st.tune.LongRead
@@ -276,9 +285,9 @@
 	return max(0, int64(memoryShare*float64(eng.Memory))-rep.usedTokens())
 }
 
-// readsLong reports whether the replica is reading a long prompt, or a part of one, and will not be done soon. An engine
-// reads the newest part before all others, so a sequence of new parts would hold back the earlier ones until the load
-// falls. Requests that wait at the instance keep their order.
+// readsLong reports whether the replica is reading a long prompt, or a part of one, and will not be done soon. An
+// engine reads the newest part before all others, so a sequence of new parts would hold back the earlier ones until the
+// load falls. Requests that wait at the instance instead keep their order.
 func (st *State) readsLong(rep *replica, fc *forecast) bool {
 	for i := range rep.works {
 		wk := &rep.works[i]
@@ -295,19 +304,19 @@
 // tokens is the memory in tokens that the request needs.
 func (req *request) tokens() int64 { return req.Prompt + req.Answer }
 
-// answeringEngine returns the index of the engine that should answer, or -1 if none can. A request that fits into one
-// engine waits for one that has the memory. A larger one takes the memory that there is, and its helpers reserve the
-// rest.
+// answeringEngine returns the index in quotes of the engine that should answer, or -1 if none can. A request that fits
+// into one engine waits for one that has the memory. A larger one takes the free memory of the engine that answers, and
+// its helpers reserve the rest.
 func answeringEngine(eng *decl.Engine, req *request, quotes []quote, idle float64) int {
-	first := -1
+	cheapest := -1
 	large := req.tokens() > int64(memoryShare*float64(eng.Memory))
 	for i := range quotes {
 		if !quotes[i].canAnswer || !large && quotes[i].freeTokens < req.tokens() {
 			continue
 		}
-		if first < 0 || quotes[i].answerCost(idle) < quotes[first].answerCost(idle) {
-			first = i
+		if cheapest < 0 || quotes[i].answerCost(idle) < quotes[cheapest].answerCost(idle) {
+			cheapest = i
 		}
 	}
-	return first
+	return cheapest
 }
--- a/internal/steer/value.go
+++ b/internal/steer/value.go
@@ -12,7 +12,7 @@
 	meanPromptGain = 0.1
 )
 
-// valueOf returns the value of an answer in time, and adds the prompt to the moving average of its route.
+// valueOf returns the value of an answer that begins in time, and adds the prompt to the moving average of its route.
 func (st *State) valueOf(route string, prompt int64) float64 {
 	if prompt == 0 {
 		return st.tune.BaseValue
@@ -23,6 +23,6 @@
 	}
 	mean += meanPromptGain * (float64(prompt) - mean)
 	st.meanPrompts[route] = mean
-	kind := st.tune.BaseValue * math.Pow(mean/basePromptTokens, st.tune.KindPower)
-	return kind * min(st.tune.MaxLengthFactor, st.tune.FixedShare+(1-st.tune.FixedShare)*float64(prompt)/mean)
+	kindValue := st.tune.BaseValue * math.Pow(mean/basePromptTokens, st.tune.KindPower)
+	return kindValue * min(st.tune.MaxLengthFactor, st.tune.FixedShare+(1-st.tune.FixedShare)*float64(prompt)/mean)
 }
