--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -20,23 +20,23 @@
 )
 
 const (
-	// dialTimeout is the timeout of a new connection; a live replica accepts one within a few milliseconds.
+	// dialTimeout is the timeout for opening a connection; a live replica accepts one within a few milliseconds.
 	dialTimeout = 600 * time.Millisecond
 	// replicaIdleTimeout is how long an idle connection to a replica is kept. It is shorter than the replicas' own
 	// timeout.
 	replicaIdleTimeout = 3 * time.Second
-	// probeTimeout is the timeout of the check whether a replica still accepts connections after an attempt failed or
-	// fell silent.
+	// probeTimeout is the timeout of refusesConnections, which checks whether a replica still accepts connections after
+	// an attempt broke or its replica fell silent.
 	probeTimeout = 250 * time.Millisecond
 	// maxPlainResponse is the maximum size in bytes of a response that is not streamed; it is buffered until it is
 	// complete.
 	maxPlainResponse = 8 << 20
-	// minTimeLeft is the shortest remaining time that a replica is sent.
+	// minTimeLeft is the minimum time left that a replica is told, even if less is left until the deadline.
 	minTimeLeft = time.Millisecond
 )
 
 func newTransport(disableKeepAlives bool) *http.Transport {
-	// A connection that has died silently is detected only by unanswered TCP keep-alive probes.
+	// Only unanswered TCP keep-alive probes show that a connection has died silently.
 	probes := net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: probes}
 	return &http.Transport{
@@ -89,33 +89,35 @@
 	ended steer.AttemptEnded
 	// maybeSent reports whether the request may have left this Instance.
 	maybeSent atomic.Bool
-	// silent reports whether the replica made no progress in time.
+	// silent reports whether checkSilence ended the attempt because the replica made no progress in time.
 	silent atomic.Bool
-	timer  *time.Timer
-	// cancel ends the attempt and the renewal of its reservations.
+	// timer calls checkSilence.
+	timer *time.Timer
+	// cancel cancels the attempt and the renewal of its reservations.
 	cancel context.CancelFunc
 	// renewalDone is closed when the renewal has ended; nil if it was not started.
 	renewalDone chan struct{}
-	// limit is the maximum silence of the replica that is currently allowed.
+	// limit is how long in nanoseconds the replica may currently be silent.
 	limit atomic.Int64
-	// checks counts the checks of a silent replica since its last event.
+	// checks counts the calls of checkSilence since the last event.
 	checks atomic.Int32
-	// lastEvent is the time of the last event, for the goroutine that reads the response.
+	// lastEvent is the time of the last event, zero before the first. Only the goroutine that reads the response uses it.
 	lastEvent time.Time
-	// sharedLastEvent is the time of the last event, nil before the first, for the timer's goroutine. It is a
-	// *time.Time because a time.Time keeps the monotonic clock reading, which a time of day lacks.
+	// sharedLastEvent is the same time, nil before the first event, for the timer's goroutine. It points to a time.Time
+	// instead of holding Unix nanoseconds because only a time.Time keeps the monotonic clock reading.
 	sharedLastEvent atomic.Pointer[time.Time]
 }
 
 func (att *attempt) run(ctx context.Context) steer.Result {
-	watched, cancel := context.WithCancel(ctx)
+	// The silence timer cancels only attemptCtx, so ctx still shows whether the caller or the deadline ended the attempt.
+	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	att.cancel = cancel
 	limit := firstByteLimit(&att.eff)
 	att.limit.Store(int64(limit))
-	att.timer = time.AfterFunc(limit, func() { att.checkSilence(watched, cancel) })
+	att.timer = time.AfterFunc(limit, func() { att.checkSilence(attemptCtx, cancel) })
 	defer att.timer.Stop()
-	if refusedBy, ok := att.reserve(watched); !ok {
+	if refusedBy, ok := att.reserve(attemptCtx); !ok {
 		att.ended.FaultyReplica = refusedBy
 		return steer.ResultNotRun
 	}
@@ -124,21 +126,22 @@
 	if att.eff.NewConnection {
 		transport = att.in.unpooled
 	}
-	sent := time.Now()
-	resp, err := transport.RoundTrip(att.newRequest(watched))
+	sentAt := time.Now()
+	resp, err := transport.RoundTrip(att.newRequest(attemptCtx))
 	if err != nil {
 		return att.failureResult(ctx)
 	}
 	ri := att.in.protocol.ParseResponse(resp)
-	att.in.recordRateLimit(att.eff.Replica, sent, ri)
+	att.in.recordRateLimit(att.eff.Replica, sentAt, ri)
 	defer func() { _ = resp.Body.Close() }()
 	return att.receive(ctx, resp, ri)
 }
 
-// checkSilence ends an attempt whose replica is silent. A replica does not count as silent if other requests recently
-// received events from it or if it accepts a new connection: it then has more work than estimated, and a retry
-// elsewhere would waste the part of the prompt that it has processed. TCP keep-alive probes detect a connection that
-// only seems open. An attempt with reservations whose response has not begun is ended without these checks.
+// checkSilence ends the attempt if its replica is silent. Up to maxChecks times in a row, a replica does not count as
+// silent if other requests recently received events from it or if it accepts a new connection: it then has more work
+// than estimated, and a retry elsewhere would waste the part of the prompt that it has processed. TCP keep-alive probes
+// detect a connection that only seems open, and connectionStalled one that delivers no events. An attempt with
+// reservations is ended without these checks if no response to the caller has begun.
 func (att *attempt) checkSilence(ctx context.Context, cancel context.CancelFunc) {
 	limit := time.Duration(att.limit.Load())
 	if hasReservations(&att.eff) && !att.cl.headerSent {
@@ -146,12 +149,12 @@
 		cancel()
 		return
 	}
-	var lastSeen time.Time
+	var replicaLastEvent time.Time
 	if at, ok := att.in.lastEvents.Load(att.eff.Replica.Name); ok {
-		lastSeen = at.(time.Time)
+		replicaLastEvent = at.(time.Time)
 	}
-	if att.checks.Add(1) <= maxChecks && !connectionStalled(att.sharedLastEvent.Load(), lastSeen, limit) {
-		if since := time.Since(lastSeen); since < limit {
+	if att.checks.Add(1) <= maxChecks && !connectionStalled(att.sharedLastEvent.Load(), replicaLastEvent, limit) {
+		if since := time.Since(replicaLastEvent); since < limit {
 			att.timer.Reset(limit - since)
 			return
 		}
@@ -164,11 +167,12 @@
 	cancel()
 }
 
-// connectionStalled reports whether other requests received events from the replica long after this request's last
-// event. An engine sends the events of all its streams together, so a connection without events is dead although the
-// replica is alive. Without this check such a stream waits until its caller leaves, as long as others receive events.
-func connectionStalled(lastEvent *time.Time, lastSeen time.Time, limit time.Duration) bool {
-	return lastEvent != nil && lastSeen.Sub(*lastEvent) > limit/2
+// connectionStalled reports whether other requests received events from the replica more than half the limit after this
+// request's last event, which is nil if it received none. An engine sends the events of all its streams together, so a
+// connection that receives none while others do is dead although the replica is alive. Without this check such a stream
+// would wait until its caller leaves, as long as others receive events.
+func connectionStalled(lastEvent *time.Time, replicaLastEvent time.Time, limit time.Duration) bool {
+	return lastEvent != nil && replicaLastEvent.Sub(*lastEvent) > limit/2
 }
 
 // hasReservations reports whether helpers reserve memory for the attempt.
@@ -177,7 +181,8 @@
 }
 
 // firstByteLimit returns the maximum time until the response begins. It is shorter for an attempt with reservations:
-// memory that no request uses must not be renewed for as long as a silent replica is assumed to be working.
+// the reservation of memory that no request uses must not be renewed for as long as a silent replica is assumed to be
+// working.
 func firstByteLimit(eff *steer.Send) time.Duration {
 	if hasReservations(eff) {
 		return min(eff.FirstTimeout, maxUnusedReservation)
@@ -185,11 +190,12 @@
 	return eff.FirstTimeout
 }
 
-// maxChecks is how often a silent replica is assumed to be working on a request because it accepts connections or sends
-// events to other requests.
+// maxChecks is how many times in a row, without an event in between, a silent replica is assumed to be working on a
+// request because it accepts connections or sends events to other requests.
 const maxChecks = 3
 
-// failureResult classifies an attempt that ended without a complete response.
+// failureResult classifies an attempt that ended without a complete response. ctx is the one that silence does not
+// cancel.
 func (att *attempt) failureResult(ctx context.Context) steer.Result {
 	switch {
 	case !att.maybeSent.Load():
@@ -206,7 +212,7 @@
 
 func (att *attempt) newRequest(ctx context.Context) *http.Request {
 	cl := att.cl
-	// Once a connection is assigned it may carry the request, whatever error follows.
+	// From the moment a connection is assigned, the request may have left on it, whatever error follows.
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { att.maybeSent.Store(true) }})
 	req := (&http.Request{
 		Method: cl.req.Method, Host: cl.req.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -232,7 +238,7 @@
 	return req
 }
 
-// targetURL returns the URL at the replica with the path exactly as the caller sent it.
+// targetURL returns the URL at the replica with the path and query exactly as the caller sent them, if possible.
 func targetURL(req *http.Request, address string) *url.URL {
 	if strings.HasPrefix(req.RequestURI, "/") && !strings.HasPrefix(req.RequestURI, "//") {
 		return &url.URL{Scheme: "http", Host: address, Opaque: req.RequestURI}
@@ -258,7 +264,7 @@
 	att.ended.Status = resp.StatusCode
 	att.ended.FaultyReplica = ri.FaultyReplica
 	if ri.Name != att.cl.info.Name && ri.Name != "" {
-		// This is a late response to an earlier request on a reused connection.
+		// The response names another request: it is a late one to an earlier request on a reused connection.
 		return steer.ResultBroken
 	}
 	switch {
@@ -274,7 +280,9 @@
 	return att.receiveWhole(ctx, resp)
 }
 
-// receiveWhole buffers the response until it is complete, so that another attempt can replace one that is cut off.
+// receiveWhole buffers the response until it is complete, so that another attempt can replace one whose response is cut
+// off. A successful response is written to the caller. An error response, or any response if the caller was sent a
+// header before, is kept in errorResponse instead.
 func (att *attempt) receiveWhole(ctx context.Context, resp *http.Response) steer.Result {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainResponse))
 	if err != nil {
@@ -290,7 +298,8 @@
 	return steer.ResultDone
 }
 
-// refusesConnections reports whether the replica does not accept a new connection.
+// refusesConnections reports whether the replica fails to accept a new connection within probeTimeout. It returns false
+// if ctx ends first.
 func refusesConnections(ctx context.Context, address string) bool {
 	conn, err := (&net.Dialer{Timeout: probeTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// effectQueueSize is the capacity of a call's effect channel; the reducer queues at most a Send and a Finish at
-	// once.
+	// effectQueueSize is the capacity of a call's effects channel. It suffices: the reducer queues at most a Send and a
+	// Finish at once.
 	effectQueueSize = 4
-	// defaultTimeout is how long a caller is taken to wait if its request states no timeout.
+	// defaultTimeout is how long a caller is assumed to wait if its request states no timeout.
 	defaultTimeout = 30 * time.Second
 	// noConfigRetryAfter is the Retry-After sent by an Instance without a usable configuration.
 	noConfigRetryAfter = 300 * time.Millisecond
@@ -40,17 +40,21 @@
 	effects  chan steer.Effect
 	control  *http.ResponseController
 
-	// headerSent reports whether the caller has received a status.
+	// headerSent reports whether the caller was sent a replica's status and header.
 	headerSent bool
-	// lastEventID is the ID of the last event that the caller has received.
+	// lastEventID is the ID of the last event that was forwarded to the caller, empty if there was none.
 	lastEventID string
 	// errorResponse is a replica's error response, held until it is clear that no other response follows.
 	errorResponse *response
-	arrived       time.Time
+	// arrived is when the request arrived.
+	arrived time.Time
 
-	mu      sync.Mutex
+	// mu guards attempt and cancel.
+	mu sync.Mutex
+	// attempt is the number of the last attempt that was started.
 	attempt int
-	cancel  context.CancelFunc
+	// cancel cancels that attempt.
+	cancel context.CancelFunc
 }
 
 // serve handles one request from its arrival to its end.
@@ -98,7 +102,7 @@
 	if cl.route.Public {
 		return true
 	}
-	// A revoked token must not be accepted any longer, even by an Instance that cannot reach the store.
+	// A revoked token must not be accepted for longer than TokenLife, even by an Instance that cannot reach the store.
 	if !in.fresh(1) {
 		cl.w.Header().Set("Connection", "close")
 		in.reject(cl, http.StatusServiceUnavailable, "tokens unconfirmed", noConfigRetryAfter)
@@ -111,11 +115,12 @@
 	return true
 }
 
-// readBody reads the whole request body and reports whether it could. It rejects a body that is too long.
+// readBody reads the whole request body and reports whether that succeeded. It rejects a request whose body is too
+// long.
 func (in *Instance) readBody(cl *call) bool {
 	limit := in.opts.MaxBody
-	if own := in.routing.Load().Limits.BodyBytes; own > 0 {
-		limit = own
+	if configured := in.routing.Load().Limits.BodyBytes; configured > 0 {
+		limit = configured
 	}
 	if cl.req.ContentLength > limit {
 		in.reject(cl, http.StatusRequestEntityTooLarge, "body too long", 0)
@@ -134,8 +139,8 @@
 
 func (in *Instance) arrivedEvent(cl *call) steer.Arrived {
 	priority := cl.route.Priority
-	if own, ok := in.routing.Load().Priorities[cl.org]; ok {
-		priority = own
+	if orgPriority, ok := in.routing.Load().Priorities[cl.org]; ok {
+		priority = orgPriority
 	}
 	cl.id = steer.RequestID(in.nextID.Add(1))
 	return steer.Arrived{
@@ -145,7 +150,7 @@
 	}
 }
 
-// callerLeavesAt returns when a caller gives up if no answer has begun.
+// callerLeavesAt returns when a caller is assumed to give up if no answer has begun.
 func callerLeavesAt(route *decl.Route, arrived, deadline time.Time) time.Time {
 	if !route.Stream {
 		return deadline
@@ -157,13 +162,13 @@
 	return deadline
 }
 
-// The caller of a stream that has not begun gives up after the longest of the following times without an event.
+// The caller of a stream that has not begun is assumed to give up after the longest of the following three times.
 const (
-	// minCallerWait is the minimum time.
+	// minCallerWait is the first of them, which does not depend on the route.
 	minCallerWait = 2 * time.Second
-	// callerWaitGoals is the time as a multiple of the route's Goal.
+	// callerWaitGoals gives the second as a multiple of the route's Goal.
 	callerWaitGoals = 4
-	// callerWaitGaps is the time as a multiple of the route's Gap.
+	// callerWaitGaps gives the third as a multiple of the route's Gap.
 	callerWaitGaps = 8
 )
 
@@ -176,7 +181,8 @@
 	return steer.Digest(hash.Sum64())
 }
 
-// process carries out the call's effects until its Finish.
+// process reports the request's arrival to the reducer and carries out the effects that it queues for the call, until
+// its Finish.
 func (in *Instance) process(cl *call, ev steer.Arrived) {
 	in.mu.Lock()
 	in.calls[cl.id] = cl
@@ -188,7 +194,7 @@
 	}()
 	defer func() { in.recordTime("Requests.Whole."+routeKind(cl.route), time.Since(cl.arrived)) }()
 	in.apply(ev)
-	gone := cl.req.Context().Done()
+	callerGone := cl.req.Context().Done()
 	for {
 		select {
 		case eff := <-cl.effects:
@@ -199,13 +205,14 @@
 				in.finish(cl, eff)
 				return
 			}
-		case <-gone:
-			gone = nil
+		case <-callerGone:
+			callerGone = nil
 			in.apply(steer.CallerGone{ID: cl.id})
 		}
 	}
 }
 
+// abort cancels the attempt if it is the call's last one.
 func (cl *call) abort(attempt int) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -214,7 +221,7 @@
 	}
 }
 
-// routeKind returns the name of the route's kind in metrics.
+// routeKind returns the route's kind as metric names state it.
 func routeKind(route *decl.Route) string {
 	if route.Stream {
 		return "stream"
@@ -222,7 +229,8 @@
 	return "plain"
 }
 
-// finish ends the caller's request.
+// finish ends the caller's request: if it failed, with the replica's error response or a refusal, or by cutting the
+// connection if a response has begun.
 func (in *Instance) finish(cl *call, eff steer.Finish) {
 	switch {
 	case eff.DeliverFailure && !cl.headerSent && cl.errorResponse != nil:
@@ -236,7 +244,8 @@
 	}
 }
 
-// statusCode returns 503 only for requests that did not run and never will, since callers retry on 503.
+// statusCode returns the HTTP status for a refusal. It is 503 only if the request did not run and never will, since
+// callers retry on 503.
 func statusCode(refusal *steer.Refusal) int {
 	switch {
 	case refusal.NotRun:
@@ -247,13 +256,13 @@
 	return http.StatusBadGateway
 }
 
-// reject writes the response to a request that no replica answered.
-func (in *Instance) reject(cl *call, status int, reason string, after time.Duration) {
+// reject writes this Instance's own error response to a request. A positive retryAfter is sent as Retry-After.
+func (in *Instance) reject(cl *call, status int, reason string, retryAfter time.Duration) {
 	in.log.Info().Str("Request", cl.info.Name).Int("Status", status).Str("Reason", reason).
 		Int64("ConfirmedMs", in.confirmedAge().Milliseconds()).Msg("rejected")
 	in.count("Rejected.Status." + strconv.Itoa(status))
-	if after > 0 {
-		cl.w.Header().Set("Retry-After", strconv.FormatFloat(math.Ceil(after.Seconds()*100)/100, 'f', -1, 64))
+	if retryAfter > 0 {
+		cl.w.Header().Set("Retry-After", strconv.FormatFloat(math.Ceil(retryAfter.Seconds()*100)/100, 'f', -1, 64))
 	}
 	cl.w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	cl.w.WriteHeader(status)
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -11,12 +11,14 @@
 const (
 	// pollShare is the interval between two polls of the store by a poller, as a share of ConfigLag.
 	pollShare = 0.3
-	// confirmShare is the interval between two confirmation requests by any other Instance, as a share of ConfigLag.
+	// confirmShare is the interval between two confirmation requests by an Instance that is not a poller, as a share of
+	// ConfigLag.
 	confirmShare = 0.35
 	// maxAgeShare is the maximum age of a usable confirmation, as a share of ConfigLag. An Instance that sends an older
-	// one cannot reach the store itself, and relying on it would hide every change made in the store since.
+	// one cannot reach the store itself, and accepting its confirmation would hide every change made in the store since.
 	maxAgeShare = 0.4
-	// storeTimeout is the timeout of one call to the store, so that a connection that died silently costs little more.
+	// storeTimeout is the timeout of one call to the store. A connection that died silently delays the call by little
+	// more than this.
 	storeTimeout = 600 * time.Millisecond
 	// minPollBackoff is the pause after a failed poll. It doubles up to maxPollBackoff because the store charges for
 	// every call, rejected ones included.
@@ -29,9 +31,9 @@
 	// noConfigPause is the pause between reads of the store while there is no configuration.
 	noConfigPause = 400 * time.Millisecond
 	// maxStaleReads is how many stale reads are tried before the first linearizable call. A stale read costs a tenth of
-	// that, and all instances may start at once.
+	// a linearizable call, and all instances may start at once.
 	maxStaleReads = 10
-	// announceTTL is how long an announcement lasts.
+	// announceTTL is how long an announcement of this Instance is valid unless it is renewed.
 	announceTTL = 40 * time.Second
 	// announceInterval is how often the announcement is renewed.
 	announceInterval = 15 * time.Second
@@ -46,8 +48,9 @@
 )
 
 // follower keeps the configuration and the lists of replicas and instances up to date. A few instances, the pollers,
-// poll the store for its revision, and the others ask the pollers; the response includes the changes. The store's watch
-// is not used for this: it may stall or be cut without a sign, and it would prove nothing about the validity of tokens.
+// poll the store for its revision, and the others ask the pollers, whose responses include the changes. The store's
+// watch is not used for this: it may stall or be cut without a sign, and a silent watch would not prove that tokens are
+// still valid.
 type follower struct {
 	in *Instance
 	// peers are the other instances that are registered, by name.
@@ -56,16 +59,16 @@
 	storeDown bool
 	// loaded reports whether the store has been read successfully.
 	loaded bool
-	// backoff is the pause after the next failed poll.
+	// backoff is the pause after the next failed poll, but at least minPollBackoff. It is 0 after a success.
 	backoff time.Duration
 	// staleReads counts the stale reads made before there was a configuration.
 	staleReads int
-	// pollers is the number of instances that are taken to poll the store. It is raised while no poller can confirm
-	// anything.
+	// pollers is the number of instances that this one takes to be pollers, raised while no poller can confirm anything.
+	// It may be below storePollers, so it is read through pollerCount.
 	pollers int
-	// nextFallback is the time until which this Instance, if it is not a poller, does not poll the store itself.
+	// nextFallback is the earliest time at which this Instance polls the store itself although it is not a poller.
 	nextFallback time.Time
-	// refusedAt is when a read of the configuration from the store last failed.
+	// refusedAt is when a read of the configuration from the store last failed and a peer was asked for it instead.
 	refusedAt time.Time
 }
 
@@ -85,8 +88,10 @@
 	return ctx.Err()
 }
 
-// bootstrap makes stale reads of the store until there is a configuration, and calls sync from then on. All instances
-// of a large fleet may start at once, and each linearizable call counts against the store's rate limit.
+// bootstrap is called at the end of each pause. It makes a stale read of the store while there is no configuration, at
+// most maxStaleReads times, and calls sync otherwise. It returns the pause until the next call. Stale reads come first
+// because all instances of a large fleet may start at once, and each linearizable call counts against the store's rate
+// limit.
 func (fl *follower) bootstrap(ctx context.Context) time.Duration {
 	if !fl.in.configured() && fl.staleReads < maxStaleReads {
 		fl.staleReads++
@@ -100,8 +105,8 @@
 	return fl.sync(ctx)
 }
 
-// sync updates the state once and returns the pause until the next call. A poller that the store rejects asks its
-// peers, and an Instance that no poller confirms may poll the store itself.
+// sync updates the state once and returns the pause until the next call. A poller whose poll fails asks the other
+// pollers, and an Instance whose state no poller confirms may poll the store itself.
 func (fl *follower) sync(ctx context.Context) time.Duration {
 	lag := float64(fl.in.opts.ConfigLag)
 	canAskPeers := fl.canAskPeers()
@@ -112,11 +117,11 @@
 	if !isPoller && !fl.shouldFallBack() {
 		return minPollBackoff
 	}
-	answered := fl.pollStore(ctx)
+	polled := fl.pollStore(ctx)
 	switch {
-	case answered && !fl.in.configured():
+	case polled && !fl.in.configured():
 		return noConfigPause
-	case answered || canAskPeers && isPoller && fl.confirmByPeers(ctx):
+	case polled || canAskPeers && isPoller && fl.confirmByPeers(ctx):
 		return time.Duration(pollShare * lag)
 	}
 	fl.addPollers()
@@ -136,23 +141,24 @@
 	return true
 }
 
-// addPollers doubles the number of pollers and reports whether it was below the maximum.
+// addPollers doubles the number of pollers up to maxStorePollers and reports whether the number grew.
 func (fl *follower) addPollers() bool {
-	before := fl.pollerCount()
-	fl.pollers = min(2*before, maxStorePollers)
-	if fl.pollers == before {
+	previous := fl.pollerCount()
+	fl.pollers = min(2*previous, maxStorePollers)
+	if fl.pollers == previous {
 		return false
 	}
-	fl.in.log.Info().Int("Pollers", fl.pollers).Int64("Revision", fl.in.changes.revision()).Msg("no poller confirmed the state; more instances poll the store")
+	fl.in.log.Info().Int("Pollers", fl.pollers).Int64("Revision", fl.in.changes.revision()).Msg("state not confirmed by any poller; more instances are taken as pollers")
 	return true
 }
 
-// pollerCount returns the number of instances that poll the store. It is halved with each confirmation until it is back
-// at storePollers.
+// pollerCount returns the number of instances that are taken to poll the store. confirmByPeers halves it after each
+// success until it is back at storePollers.
 func (fl *follower) pollerCount() int { return max(fl.pollers, storePollers) }
 
-// syncFromPeer requests the changes from the Instance that announced a newer revision. Pollers do this too; otherwise
-// each change would cost one call to the store per poller.
+// syncFromPeer requests the changes from the Instance that announced a newer revision, calls sync if that fails, and
+// returns the pause until the next call of bootstrap. Pollers do this too; otherwise each change would cost one call to
+// the store per poller.
 func (fl *follower) syncFromPeer(ctx context.Context, from *net.UDPAddr) time.Duration {
 	if !fl.canAskPeers() || !fl.confirmByPeer(ctx, from) {
 		return fl.sync(ctx)
@@ -160,7 +166,8 @@
 	return time.Duration(pollShare * float64(fl.in.opts.ConfigLag))
 }
 
-// canAskPeers reports whether other instances can be asked. An Instance without any state reads the store itself.
+// canAskPeers reports whether other instances can be asked for changes. They cannot be asked for the whole state, so an
+// Instance without any reads the store itself.
 func (fl *follower) canAskPeers() bool {
 	return fl.loaded && fl.in.configured() && fl.in.gossip.hasPeers()
 }
@@ -176,15 +183,16 @@
 	return false
 }
 
-// maxConfirmRounds is how many responses one confirmation takes at most if the changes do not fit into one.
+// maxConfirmRounds is the maximum number of requests for one confirmation. Several are sent if the changes do not fit
+// into one response.
 const maxConfirmRounds = 256
 
 // confirmByPeer requests the changes from the Instance at the address until the state here has reached its revision,
-// and reports whether that Instance confirmed it. The confirmation dates from the request, minus the age in the
-// response, so that neither a suspended process nor a late datagram can extend a token's lifetime, and a confirmation
-// never becomes younger when it is passed on.
+// and reports whether that Instance confirmed the state. The confirmation is dated to when the request was sent, minus
+// the age stated in the response. So neither a suspended process nor a late datagram can extend a token's lifetime, and
+// a confirmation never becomes younger when it is passed on.
 func (fl *follower) confirmByPeer(ctx context.Context, from *net.UDPAddr) bool {
-	oldest := time.Duration(maxAgeShare * float64(fl.in.opts.ConfigLag))
+	maxAge := time.Duration(maxAgeShare * float64(fl.in.opts.ConfigLag))
 	for range maxConfirmRounds {
 		requestedAt := bootTime()
 		conf, ok := fl.in.gossip.requestConfirmation(ctx, from, fl.in.changes.revision())
@@ -192,7 +200,7 @@
 			fl.in.count("Peers.Unanswered")
 			return false
 		}
-		if conf.AgeMs > oldest.Milliseconds() {
+		if conf.AgeMs > maxAge.Milliseconds() {
 			fl.in.count("Peers.Old")
 			return false
 		}
@@ -209,11 +217,12 @@
 	return false
 }
 
-// pollStore polls the store and reports whether it responded and the state is up to date.
+// pollStore polls the store, applies any changes and reports whether the store responded and the state is up to date.
 func (fl *follower) pollStore(ctx context.Context) bool {
 	limited, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	// The confirmation dates from before the call: a change that the store accepts after its response is not in it.
+	// The confirmation is dated to before the call: the revision in the response may lack a change that the store
+	// accepts before the response arrives.
 	requestedAt := bootTime()
 	fl.in.count("Store.Questions")
 	revision, err := fl.in.directory.Revision(limited)
@@ -230,8 +239,8 @@
 }
 
 // markReachable records that the state is the store's again, whether read from the store or from a peer. If the outage
-// were taken to continue, each replica that is removed would stay in use for as long as one that is missing because of
-// an outage.
+// were taken to continue, each replica removed from the store would stay in use for as long as one that only seems
+// removed because of an outage.
 func (fl *follower) markReachable() {
 	if fl.storeDown {
 		fl.in.log.Info().Int64("Revision", fl.in.changes.revision()).Msg("store reachable again")
@@ -240,7 +249,7 @@
 	fl.backoff = 0
 }
 
-// confirm records that the state was the store's at the given boot time.
+// confirm records that the state was the store's at the given time, which counts from boot as that of bootTime does.
 func (fl *follower) confirm(at time.Duration) {
 	if int64(at) > fl.in.confirmed.Load() {
 		fl.in.confirmed.Store(int64(at))
@@ -250,6 +259,8 @@
 	}
 }
 
+// markUnreachable counts the failure of a read or poll of the store and records that the store is down unless ctx was
+// cancelled.
 func (fl *follower) markUnreachable(ctx context.Context, err error) {
 	fl.in.count("Store.Failures")
 	if ctx.Err() != nil || fl.storeDown {
@@ -259,9 +270,9 @@
 	fl.in.log.Warn().Err(err).Int64("Revision", fl.in.changes.revision()).Msg("store unreachable; the last state stays in use")
 }
 
-// announce registers this Instance with the others and renews the entry. A restarted Instance reuses its earlier entry:
-// when all instances restart at once, as after a power failure, creating new entries would be most of the load on the
-// store.
+// announce registers this Instance in the store, where the others find it, and renews the entry. A restarted Instance
+// renews the entry of its earlier run: when all instances restart at once, as after a power failure, creating new
+// entries would be most of the load on the store.
 func (in *Instance) announce(ctx context.Context) error {
 	self := in.self
 	select {
@@ -286,7 +297,8 @@
 	return ctx.Err()
 }
 
-// fresh reports whether the store confirmed the configuration within the given share of TokenLife.
+// fresh reports whether the last confirmation, from the store or from a peer, is younger than the given share of
+// TokenLife.
 func (in *Instance) fresh(share float64) bool {
 	return in.confirmed.Load() != 0 && in.confirmedAge() < time.Duration(share*float64(in.opts.TokenLife))
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -13,8 +13,8 @@
 // readBufferSize is the initial size in bytes of the buffer for a stream.
 const readBufferSize = 4 << 10
 
-// stream forwards a stream of events, each once it is complete. A replica may fail in the middle of an event, and the
-// replica that resumes the stream begins with the next complete event.
+// stream forwards a stream of events, each only once it is complete: a replica may fail in the middle of an event, and
+// the replica that resumes the stream sends that event again from its start.
 func (att *attempt) stream(ctx context.Context, resp *http.Response) steer.Result {
 	buf := make([]byte, 0, readBufferSize)
 	for {
@@ -38,7 +38,8 @@
 	}
 }
 
-// forward writes the complete events at the start of buf to the caller and returns the remaining bytes.
+// forward writes the complete events at the start of buf to the caller and returns the remaining bytes. ok reports
+// whether the caller could be written to.
 func (att *attempt) forward(resp *http.Response, buf []byte) (rest []byte, ok bool) {
 	end := 0
 	for {
@@ -65,8 +66,8 @@
 	return buf[end:], true
 }
 
-// startResponse sends the caller the header of the first replica that answers. A later replica only continues the
-// stream.
+// startResponse applies Began unless the attempt has forwarded an event already, and sends the caller the replica's
+// header unless the caller has one already: a later replica only continues the stream of the first.
 func (att *attempt) startResponse(resp *http.Response) {
 	if att.lastEvent.IsZero() {
 		att.in.apply(steer.Began{ID: att.cl.id, Attempt: att.eff.Attempt})
@@ -80,7 +81,7 @@
 	att.cl.w.WriteHeader(http.StatusOK)
 }
 
-// recordProgress records the arrival of an event and restarts the silence timer.
+// recordProgress records that events arrived and restarts the silence timer.
 func (att *attempt) recordProgress() {
 	now := time.Now()
 	if !att.lastEvent.IsZero() {
@@ -99,17 +100,17 @@
 }
 
 // eventLength returns the length of the event at the start of buf, including the empty line that ends it, or 0 if the
-// event is incomplete.
+// event is incomplete. An empty line at the very start does not end an event.
 func eventLength(buf []byte) int {
 	for at := 0; at < len(buf); {
-		line := bytes.IndexByte(buf[at:], '\n')
-		if line < 0 {
+		lineLength := bytes.IndexByte(buf[at:], '\n')
+		if lineLength < 0 {
 			return 0
 		}
-		if at > 0 && len(bytes.TrimRight(buf[at:at+line], "\r")) == 0 {
-			return at + line + 1
+		if at > 0 && len(bytes.TrimRight(buf[at:at+lineLength], "\r")) == 0 {
+			return at + lineLength + 1
 		}
-		at += line + 1
+		at += lineLength + 1
 	}
 	return 0
 }
