--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -9,19 +9,19 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// Aging under Priority. Aged items are ordered by deadline and placed right behind the highest class while they take no more
-// than maxAgedShare of the tokens; above that they are only placed first within their own class. Without this bound,
+// Aging under Priority. Aged items are ordered by deadline. While they take no more than maxAgedShare of the tokens, they go
+// right behind the highest class; above that, they only go first among the items of their own priority. Without this bound,
 // everything that waits under overload is aged, and the aged long prompts make all others wait as long as they do.
 const (
 	// agedAfterFraction is the fraction of the time from arrival to deadline after which an item is aged.
 	agedAfterFraction = 0.5
-	// maxAgedShare is the share of the tokens taken up to which aged items are placed right behind the highest class.
+	// maxAgedShare is the largest share of the tokens taken at which aged items still go right behind the highest class.
 	maxAgedShare = 0.2
 	// agedShareWindow is the number of tokens over which the share of aged items is averaged.
 	agedShareWindow = 4_000_000
 )
 
-// maxFlows is the number of flows from which on adding another one first removes the idle ones.
+// maxFlows is the number of flows at which the idle ones are removed before another one is added.
 const maxFlows = 4096
 
 // queue holds the waiting items of one service. Adding or removing an item costs O(log items).
@@ -35,7 +35,7 @@
 	lanes []*lane
 	// aged holds the aged items by deadline.
 	aged itemHeap
-	// aging holds the items of the lanes that can still become aged, by the time at which they do.
+	// aging holds the items of the lanes that are to become aged, by the time at which they do.
 	aging itemHeap
 	// delayed holds the items that may not be sent yet, by NotBefore.
 	delayed itemHeap
@@ -45,7 +45,7 @@
 	takenAgedTokens float64
 	classes         map[string]*class
 	flows           map[flowKey]*flow
-	// virtualTime is the start tag of the lane served last, under Weighted.
+	// virtualTime is the highest start tag that a lane had when an item was taken from it. It is used under Weighted.
 	virtualTime float64
 	// headBuffer is the slice that heads returns.
 	headBuffer []*Item
@@ -57,7 +57,8 @@
 	class    string
 	// weight is the lane's weight under Weighted.
 	weight float64
-	// startTag grows by the tokens taken divided by weight. Under Weighted the lane with the lowest one goes next.
+	// startTag grows by the tokens of each item taken, divided by weight. Under Weighted the lane with the lowest start tag
+	// goes next. Start tags of lanes and those of items are not comparable.
 	startTag float64
 	heap     itemHeap
 }
@@ -78,11 +79,11 @@
 
 type flowKey struct{ organisation, class string }
 
-// flow holds the sums over the waiting items of one organisation in one class.
+// flow holds the fair-share state of one organisation in one class, and the sums over its waiting items there.
 type flow struct {
 	// finishTag is the virtual time at which the organisation's fair share has served all items that it queued.
 	finishTag float64
-	// weight is the organisation's weight when the flow last became non-empty.
+	// weight is the weight that the organisation had when the flow last became non-empty.
 	weight float64
 	items  int
 	work   time.Duration
@@ -185,7 +186,7 @@
 }
 
 // dropIdleFlows removes the empty flows once there are maxFlows flows. It keeps those whose finish tag is ahead of the
-// class's virtual time: they still record service that the organisation has received.
+// class's virtual time: they still record service that the organisation received ahead of that time.
 func (qu *queue) dropIdleFlows() {
 	if len(qu.flows) < maxFlows {
 		return
@@ -197,7 +198,7 @@
 	}
 }
 
-// enqueue adds an item that may be sent to its lane.
+// enqueue adds to its lane an item that is not, or no longer, delayed.
 func (qu *queue) enqueue(it *Item) {
 	it.lane = qu.laneFor(it)
 	it.lane.heap.push(it)
@@ -206,7 +207,7 @@
 	}
 }
 
-// startAging schedules the time at which the item becomes aged. An item whose deadline is not after its arrival never does.
+// startAging schedules the time at which the item becomes aged. If its deadline is not after its arrival, it never does.
 func (qu *queue) startAging(it *Item) {
 	total := it.Deadline.Sub(it.Arrived)
 	if total <= 0 {
@@ -251,8 +252,8 @@
 	return ln
 }
 
-// advanceIdleTag raises the start tag of an empty lane to the present virtual time. Otherwise an idle lane would save up its
-// unused share and then hold up the others.
+// advanceIdleTag raises the start tag of a lane that is empty to the present virtual time. Otherwise an idle lane would save up
+// its unused share and then hold up the others.
 func (qu *queue) advanceIdleTag(ln *lane) {
 	if len(ln.heap.items) == 0 {
 		ln.startTag = max(ln.startTag, qu.virtualTime)
@@ -272,8 +273,8 @@
 	}
 }
 
-// heads returns the first item of each lane and the first aged item, in the order of preference, after it has moved the
-// items whose time has come out of delayed and aging.
+// heads returns the first item of each lane and the first aged item, in the order of preference. It first moves the items
+// whose time has come: from delayed to their lanes, and from their lanes to aged.
 func (qu *queue) heads(now time.Time) []*Item {
 	for it := qu.delayed.first(); it != nil && !now.Before(it.NotBefore); it = qu.delayed.first() {
 		qu.delayed.remove(it)
@@ -293,7 +294,7 @@
 		slices.SortStableFunc(qu.headBuffer, func(a, b *Item) int { return cmp.Compare(a.lane.startTag, b.lane.startTag) })
 	case Priority:
 		// Classes of equal priority go in the order of arrival. Start tags of different classes cannot be compared: the
-		// class that has served more would wait until the other one has caught up.
+		// class that has served more would have to wait until the other one had caught up.
 		slices.SortStableFunc(qu.headBuffer, func(a, b *Item) int {
 			return cmp.Or(cmp.Compare(b.Class.Priority, a.Class.Priority), a.Arrived.Compare(b.Arrived))
 		})
@@ -304,7 +305,8 @@
 	return qu.headBuffer
 }
 
-// agedPosition returns the index at which the first aged item belongs among the heads, which are in the order of priority.
+// agedPosition returns the index at which the first aged item belongs among the heads of the lanes, which are in the order
+// of priority.
 func (qu *queue) agedPosition(aged *Item) int {
 	withinShare := qu.takenAgedTokens <= maxAgedShare*qu.takenTokens
 	for i, it := range qu.headBuffer {
@@ -315,7 +317,7 @@
 	return len(qu.headBuffer)
 }
 
-// charge accounts for an item that is sent in its class and lane.
+// charge adds an item that is about to be sent to the accounts of its class and of its lane.
 func (qu *queue) charge(it *Item) {
 	cl := qu.classes[it.Class.Name]
 	cl.virtualTime = max(cl.virtualTime, it.startTag)
@@ -327,7 +329,7 @@
 	cl.drain.work += it.Work
 }
 
-// countTaken updates the tokens taken and the part of aged items.
+// countTaken updates the tokens taken and the part of them that aged items took.
 func (qu *queue) countTaken(it *Item) {
 	tokens := float64(it.Tokens)
 	decay := max(0, 1-tokens/agedShareWindow)
@@ -338,8 +340,8 @@
 	}
 }
 
-// refund takes an item that was never sent off its flow's finish tag, unless the organisation has queued another item
-// behind it.
+// refund takes back what an item that ends unsent has added to its flow's finish tag, unless the organisation has queued
+// another item behind it.
 func (qu *queue) refund(it *Item) {
 	fl := qu.flows[flowKey{it.Organisation, it.Class.Name}]
 	if fl.finishTag == it.startTag+float64(it.Tokens)/it.weight {
--- a/internal/admit/share.go
+++ b/internal/admit/share.go
@@ -11,19 +11,19 @@
 )
 
 // Limits are declared for the whole fleet, and each instance enforces its share of them alone. The shares follow the demand:
-// an instance periodically reports which fraction of an organisation's limits is requested from it. One instance, the same
-// for all reporters, divides the limits of an organisation in proportion to the reports and replies with the shares.
+// each instance periodically reports what fraction of an organisation's limits its callers request from it. One instance,
+// the same for all reporters, divides the limits of an organisation in proportion to the reports and replies with the shares.
 // Admitting a request needs no other instance, and an instance that has received no share uses an equal one.
 const (
 	// minDemandPeriod is the minimum time between two reports of demand.
 	minDemandPeriod = time.Second
-	// demandPeriodPerInstance lengthens the period in a large fleet, so that the cost of an instance that divides limits
-	// does not grow with the fleet.
+	// demandPeriodPerInstance times the number of instances is the period in a large fleet. So the cost of the instance that
+	// divides the limits does not grow with the fleet.
 	demandPeriodPerInstance = 25 * time.Millisecond
-	// minReportedDemand is the demand, as a fraction of an equal share, at or below which an instance reports none.
+	// minReportedDemand is the demand, as a fraction of an equal share, that an instance must exceed to report it.
 	minReportedDemand = 0.25
-	// equalFraction is the part of a limit that is always divided equally, so that an organisation that moves to another
-	// instance is not refused there until the next report.
+	// equalFraction is the part of a limit that is always divided equally. Otherwise an organisation that moves to another
+	// instance would be refused there until the next report.
 	equalFraction = 0.1
 	// shareTTLPeriods is the number of periods after which a share or a reported demand expires.
 	shareTTLPeriods = 3
@@ -64,8 +64,8 @@
 	acc.offeredAt = now
 }
 
-// demandedFraction returns the demand at this instance as a fraction of the organisation's limits, for the limit where it
-// is largest.
+// demandedFraction returns the demand at this instance as a fraction of the organisation's limit, for the one of its limits
+// with the largest such fraction.
 func (acc *account) demandedFraction(lim decl.Limits, period time.Duration) float64 {
 	var fraction float64
 	if lim.RequestsPerSecond > 0 {
@@ -101,8 +101,8 @@
 	return demands
 }
 
-// AllocateShares records the demands that an instance reports and returns its shares of the limits.
-func (st *State) AllocateShares(now time.Time, from string, demands []event.Demand) []event.Share {
+// AllocateShares records the demands that an instance, the reporter, has reported and returns its shares of the limits.
+func (st *State) AllocateShares(now time.Time, reporter string, demands []event.Demand) []event.Share {
 	shares := make([]event.Share, 0, len(demands))
 	for _, dem := range demands {
 		byInstance, ok := st.demands[dem.Organisation]
@@ -110,18 +110,19 @@
 			byInstance = map[string]demand{}
 			st.demands[dem.Organisation] = byInstance
 		}
-		byInstance[from] = demand{fraction: float64(dem.Fraction), at: now}
-		shares = append(shares, event.Share{Organisation: dem.Organisation, Fraction: float32(st.allocation(now, byInstance, from))})
+		byInstance[reporter] = demand{fraction: float64(dem.Fraction), at: now}
+		shares = append(shares, event.Share{Organisation: dem.Organisation, Fraction: float32(st.allocation(now, byInstance, reporter))})
 	}
 	return shares
 }
 
-// allocation returns the share of one organisation's limits that the instance gets. It removes expired demands.
-func (st *State) allocation(now time.Time, byInstance map[string]demand, from string) float64 {
+// allocation returns the share of one organisation's limits that the reporter gets, from the demands of all instances for
+// that organisation. It removes the expired ones.
+func (st *State) allocation(now time.Time, byInstance map[string]demand, reporter string) float64 {
 	var total float64
-	for name, dem := range byInstance {
+	for instance, dem := range byInstance {
 		if now.Sub(dem.at) > shareTTLPeriods*st.DemandPeriod() {
-			delete(byInstance, name)
+			delete(byInstance, instance)
 			continue
 		}
 		total += dem.fraction
@@ -130,7 +131,7 @@
 	if total <= 0 {
 		return equal
 	}
-	return equalFraction*equal + (1-equalFraction)*byInstance[from].fraction/total
+	return equalFraction*equal + (1-equalFraction)*byInstance[reporter].fraction/total
 }
 
 // ApplyShares sets the shares of the limits that were allocated to this instance.
@@ -147,14 +148,14 @@
 
 // DropExpiredDemands removes the expired demands and the organisations that have none left.
 func (st *State) DropExpiredDemands(now time.Time) {
-	for name, byInstance := range st.demands {
-		for from, dem := range byInstance {
+	for organisation, byInstance := range st.demands {
+		for instance, dem := range byInstance {
 			if now.Sub(dem.at) > shareTTLPeriods*st.DemandPeriod() {
-				delete(byInstance, from)
+				delete(byInstance, instance)
 			}
 		}
 		if len(byInstance) == 0 {
-			delete(st.demands, name)
+			delete(st.demands, organisation)
 		}
 	}
 }
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -16,15 +16,16 @@
 	}
 }
 
-// dispatch sends waiting requests of the service until none of its length classes finds a replica with room.
+// dispatch sends waiting requests of the service until none of the heads of its queue finds a replica with room.
 func (st *State) dispatch(service string) {
 	for st.dispatchNext(service) {
 	}
 	st.Admit.MarkBlocked(st.now, service)
 }
 
-// dispatchNext sends one of the requests that are next in the service's queue, or ends one that can no longer meet its
-// deadline. It reports whether it did either.
+// dispatchNext goes through the heads of the service's queue in the order of preference, up to the first one that it can end
+// or send: it ends one that can no longer meet its deadline, and sends one that finds a replica with room. It reports whether
+// there was one.
 func (st *State) dispatchNext(service string) bool {
 	for _, it := range st.Admit.Heads(st.now, service) {
 		req := st.Requests[it.ID]
@@ -45,10 +46,12 @@
 	return false
 }
 
-// queuedAfter is the waiting time after which a request counts as having found no replica with room on arrival.
+// queuedAfter is the waiting time after which a request counts as Queued in its PickCriteria: no replica had room for it when
+// it arrived.
 const queuedAfter = 2 * event.TickPeriod
 
-// pickCriteria returns what the request needs of a replica, with the replicas to avoid.
+// pickCriteria returns what the request needs of a replica and, in Tried, the replicas to avoid: those at which it failed
+// and, if it is suspect, those that run other suspects.
 func (st *State) pickCriteria(req *Request) route.PickCriteria {
 	pc := st.requestLoad(req)
 	pc.Tried = req.Tried
@@ -80,7 +83,7 @@
 	req.Upstreams = upstreams
 	req.Aborted = false
 	load := st.requestLoad(req)
-	// Several engines prefill equal parts of the prompt.
+	// If there are several upstreams, each prefills an equal part of the prompt.
 	load.Prompt = (load.Prompt + int64(len(upstreams)) - 1) / int64(len(upstreams))
 	for _, up := range upstreams {
 		st.Route.RecordSent(st.now, up.Name, &load)
@@ -100,12 +103,12 @@
 	})
 }
 
-// prefillSlack is the multiple of its estimated time that a prefill may take before the engine counts as silent.
+// prefillSlack is how many times its estimated time a prefill may take before the engine counts as silent.
 const prefillSlack = 3
 
 // firstProgressTimeout returns the timeout for the first byte of the answer, 0 for plain services. It covers the prefill of
-// the prompt and of what is queued ahead of it, since an engine may send no heartbeats meanwhile: a prompt of a million
-// tokens takes far longer than the ProgressTimeout, and a timeout would start its prefill over.
+// the prompt and of what is queued ahead of it, since an engine may send no heartbeats during a prefill: a prompt of a
+// million tokens takes far longer than the ProgressTimeout, and a timeout would start its prefill over.
 func (st *State) firstProgressTimeout(req *Request, upstreams []event.Upstream) time.Duration {
 	svc := st.service(req)
 	if svc.Kind != decl.KindModel {
--- a/internal/core/quarantine.go
+++ b/internal/core/quarantine.go
@@ -7,7 +7,8 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// Quarantine of requests that crash their upstreams.
+// Quarantine of requests that crash their upstreams. A death is such a crash. Content with deaths, but fewer than
+// deathsToQuarantine, is suspect.
 const (
 	// deathsToQuarantine is the number of upstreams that the same content must crash to be quarantined.
 	deathsToQuarantine = 2
@@ -15,15 +16,16 @@
 	quarantineTTL = 30 * time.Minute
 	// deathTTL is the time for which content is suspect after a single crash.
 	deathTTL = 10 * time.Minute
-	// maxQuarantineEntries is the maximum number of digests recorded, and of upstreams recorded as dead.
+	// maxQuarantineEntries is the maximum number of entries of byDigest, and likewise of deadSince.
 	maxQuarantineEntries = 10000
 )
 
 // quarantine records the digests of the requests that were in flight on upstreams that broke off. Crashes are counted by
 // content, since a caller resends a request under a new ID.
 type quarantine struct {
+	// byDigest holds the suspect and the quarantined digests. Expired entries stay until the room is needed.
 	byDigest map[event.Digest]event.QuarantineReported
-	// deadSince holds the upstreams that crashed and have shown no sign of life since.
+	// deadSince holds the upstreams that crashed and have shown no sign of life since, with the time of the crash.
 	deadSince map[string]time.Time
 }
 
@@ -76,8 +78,8 @@
 
 // wasAlreadyDead reports whether the upstream had crashed before the attempt was sent and has shown no sign of life since,
 // so that the attempt did not crash it. Where something in between accepts connections for a dead process, each request
-// sent there looks like a crash, and two dead replicas would quarantine everything tried on both. It also records the first
-// crash of an upstream.
+// sent there looks like a crash, and two dead replicas would quarantine everything tried on both. An upstream that was not
+// known to be dead is recorded as crashed now.
 func (st *State) wasAlreadyDead(req *Request, upstream string) bool {
 	since, dead := st.quarantine.deadSince[upstream]
 	if dead {
@@ -97,8 +99,8 @@
 	}
 }
 
-// clearSuspicion clears content that an upstream has run to its end. Everything in flight on a replica that crashes becomes
-// suspect, although at most one of these requests crashed it.
+// clearSuspicion clears suspect content that an upstream has run to its end. Quarantined content stays quarantined.
+// Everything in flight on a replica that crashes becomes suspect, although at most one of these requests crashed it.
 func (st *State) clearSuspicion(req *Request) {
 	entry, ok := st.quarantine.byDigest[req.Digest]
 	if ok && entry.Deaths < deathsToQuarantine {
@@ -106,14 +108,14 @@
 	}
 }
 
-// isSuspect reports whether an upstream has crashed while running the request's content.
+// isSuspect reports whether the request's content has an unexpired entry: an upstream has crashed while running it.
 func (st *State) isSuspect(req *Request) bool {
 	entry, ok := st.quarantine.byDigest[req.Digest]
 	return ok && st.now.Before(entry.Until)
 }
 
 // suspectReplicas returns the names of the replicas that run suspect requests of the service. Another suspect goes to a
-// different replica if there is one: with two on one replica, a crash would quarantine both, and one of them is innocent.
+// different replica if there is one: with two on one replica, one crash would quarantine both, although one is innocent.
 func (st *State) suspectReplicas(req *Request) []string {
 	var names []string
 	for _, other := range st.Requests {
@@ -136,7 +138,8 @@
 		st.dropExpiredEntries()
 	}
 	if _, known := st.quarantine.byDigest[entry.Digest]; !known && len(st.quarantine.byDigest) >= maxQuarantineEntries {
-		// All entries are still in force. Not counting one crash of unknown content does less harm than dropping one of them.
+		// None of the entries has expired. Leaving out a new one, so that one crash of its content is not counted, does less
+		// harm than dropping one of these.
 		return
 	}
 	st.quarantine.byDigest[entry.Digest] = entry
@@ -163,11 +166,11 @@
 
 // SuspectDigests returns the entries of the digests that are suspect or quarantined now.
 func (st *State) SuspectDigests() []event.QuarantineReported {
-	var known []event.QuarantineReported
+	var unexpired []event.QuarantineReported
 	for _, entry := range st.quarantine.byDigest {
 		if st.now.Before(entry.Until) {
-			known = append(known, entry)
+			unexpired = append(unexpired, entry)
 		}
 	}
-	return known
+	return unexpired
 }
--- a/internal/core/tick.go
+++ b/internal/core/tick.go
@@ -6,8 +6,9 @@
 	"dandelionsail.example/dandelionsail/internal/event"
 )
 
-// maxTickDelay is the time between two ticks while nothing waits: membership, permits and ejections need no finer ones. An
-// idle instance that ticked every event.TickPeriod would spend more than its whole share of a core on waking up.
+// maxTickDelay is the longest time between two ticks. It applies while no request waits and no deadline is nearer:
+// membership, permits and ejections need no ticks closer together. An idle instance that ticked every event.TickPeriod would
+// spend more than its whole share of a core on waking up.
 const maxTickDelay = 50 * time.Millisecond
 
 // TickDelay returns the time after which the reducer needs its next tick.
