--- a/internal/steer/queue.go
+++ b/internal/steer/queue.go
@@ -8,7 +8,7 @@
 // The queue of requests that have no replica yet: the order in which they are dispatched, which of them are refused, and
 // when their callers should retry.
 
-// dispatch sends the waiting requests for which there is a replica by now, the most urgent first.
+// dispatch tries to place each waiting request, the most urgent first, and keeps those that must go on waiting.
 func (st *State) dispatch() {
 	if len(st.waiting) == 0 {
 		return
@@ -27,12 +27,12 @@
 	st.waiting = kept
 }
 
-// compareUrgency orders requests that can still be in time before those that cannot, and each of the two groups by goal.
-// Under overload the late ones would otherwise delay the others, and make all requests late in turn.
+// compareUrgency orders requests that can still be in time before those for which it is too late, and each of the two groups
+// by goal. Under overload the second group would otherwise delay the first, and make all requests late in turn.
 func (st *State) compareUrgency(a, b *request) int {
-	lateA, lateB := st.tooLate(a), st.tooLate(b)
-	if lateA != lateB {
-		if lateA {
+	tooLateA, tooLateB := st.tooLate(a), st.tooLate(b)
+	if tooLateA != tooLateB {
+		if tooLateA {
 			return 1
 		}
 		return -1
@@ -40,14 +40,18 @@
 	return a.goal.Compare(b.goal)
 }
 
-// tooLate reports whether the answer can hardly begin by the request's goal any more.
-func (st *State) tooLate(req *request) bool { return st.misses(req, req.goal) }
+// tooLate reports whether the answer can hardly begin by the request's goal any more. If req.late is set, that goal is the
+// one that markLate has set.
+func (st *State) tooLate(req *request) bool { return st.tooLateFor(req, req.goal) }
 
-// misses reports whether less than Tuning.LateGoalShare of the route's goal is left until the given goal.
-func (st *State) misses(req *request, goal time.Time) bool {
+// tooLateFor reports whether the time left until the given goal is less than Tuning.LateGoalShare of the time that the
+// route's goal allows.
+func (st *State) tooLateFor(req *request, goal time.Time) bool {
 	return ms(goal.Sub(st.now)) < st.tune.LateGoalShare*ms(req.Route.Goal.Std())
 }
 
+// trySend places the request, and sends it, books a claim for it or asks for a grant. The result is false if the request has
+// to stay in the queue: if it cannot be placed now or waits for a grant.
 func (st *State) trySend(req *request) bool {
 	if req.grant.rep != nil {
 		return st.followGrant(req)
@@ -70,9 +74,9 @@
 	return true
 }
 
-// expire refuses requests that have waited for too long: those whose caller would leave before any answer, and those
-// that would be late and whose caller can retry once more, so that the callers learn now when to retry. It also refuses
-// those that rate limits keep waiting for too long and, from Draining.RefuseWaitingAt on, all that wait.
+// expire refuses requests that have waited for too long. expired are those whose caller would leave before any answer.
+// outOfTime are first tries that would be late: their callers can retry once more, and so learn now when to do so. limited
+// are those that rate limits keep waiting for too long. From Draining.RefuseWaitingAt on, all that wait are refused.
 func (st *State) expire() {
 	var expired, outOfTime, draining, limited []*request
 	for _, req := range st.waiting {
@@ -82,6 +86,7 @@
 		case !st.now.Before(req.Deadline) || !req.begun && !st.now.Before(req.LeavesAt) || st.waitedTooLong(req):
 			expired = append(expired, req)
 		case req.hasTurn():
+			// It keeps waiting, since it was granted a send in time.
 		case req.attempt == 0 && !req.triedBefore && st.outOfTime(req):
 			outOfTime = append(outOfTime, req)
 		case st.blockedByLimits(req):
@@ -95,25 +100,25 @@
 		st.refuse(req, ReasonBusy, st.retryAfter(req))
 	}
 	for _, req := range limited {
-		first, _ := st.blockedUntil(req)
-		st.refuse(req, ReasonLimited, st.retryAfterLimit(req, first))
+		availableAt, _ := st.blockedUntil(req)
+		st.refuse(req, ReasonLimited, st.retryAfterLimit(req, availableAt))
 	}
 	for _, req := range draining {
 		st.refuse(req, ReasonDraining, drainRetryAfter)
 	}
 }
 
-// outOfTime reports whether a first try has waited until its answer could hardly begin by the goal that it arrived with.
+// outOfTime reports whether a first try has waited until its answer could hardly begin by its original goal.
 func (st *State) outOfTime(req *request) bool {
 	if req.late {
-		return st.misses(req, req.originalGoal)
+		return st.tooLateFor(req, req.originalGoal)
 	}
 	return st.tooLate(req)
 }
 
-// waitedTooLong reports whether a retry, or a request whose attempt failed at an engine, has waited for more than
-// Tuning.MaxRewaitShare of its caller's time. If it has found no replica until then, it seldom finds one before its
-// caller leaves, and the caller is better off with a refusal.
+// waitedTooLong reports whether a request has waited for more than Tuning.MaxRewaitShare of its caller's time since it
+// arrived as a caller's retry or since its last attempt failed at an engine. If it has found no replica by then, it seldom
+// finds one before its caller leaves, and the caller is better off with a refusal. Requests whose answer has begun wait on.
 func (st *State) waitedTooLong(req *request) bool {
 	if req.begun || req.attempt == 0 && !req.triedBefore || req.attempt > 0 && st.serviceOf(req.service).engine == nil {
 		return false
@@ -125,25 +130,26 @@
 	return st.now.Sub(req.waitingSince) > time.Duration(st.tune.MaxRewaitShare*float64(timeout))
 }
 
-// detectRetry detects a caller's retry: it has less time than any caller of its route has at its first try. Its goal
-// counts from the first try, which was at least as long ago as its time is short. The caller may have no further try, so
-// the request waits for as long as it can.
+// detectRetry detects a caller's retry: its stated timeout is too short for a first try on its route. Its goal counts from the
+// first try, which was at least as long ago as its timeout falls short of that of a first try. The caller may have no further
+// try, so expire does not refuse the retry just because it is out of time.
 func (st *State) detectRetry(req *request) {
-	longest := max(st.longestTimeouts[req.Route.Name], req.StatedTimeout)
-	st.longestTimeouts[req.Route.Name] = longest
-	minTimeout := time.Duration(st.tune.MinFirstTryShare * float64(longest))
-	if req.StatedTimeout == 0 || req.StatedTimeout >= minTimeout {
+	longestTimeout := max(st.longestTimeouts[req.Route.Name], req.StatedTimeout)
+	st.longestTimeouts[req.Route.Name] = longestTimeout
+	minFirstTimeout := time.Duration(st.tune.MinFirstTryShare * float64(longestTimeout))
+	if req.StatedTimeout == 0 || req.StatedTimeout >= minFirstTimeout {
 		return
 	}
 	req.triedBefore = true
-	req.goal = req.goal.Add(req.StatedTimeout - minTimeout)
+	req.goal = req.goal.Add(req.StatedTimeout - minFirstTimeout)
 	st.markLate(req)
 }
 
-// markLate prices a request that cannot meet its goal any more by what is left of its answer's value, which is lost when
-// its caller leaves. With the old goal, the lateness that nothing can avert would count against every placement, and the
-// request would not be sent even to idle engines. Load pattern: the longest prompts of a burst, which even all the
-// engines that may read them together cannot read in time.
+// markLate marks a request that cannot meet its goal any more. From then on its value is what a late answer is still worth,
+// and its goal is the time at which its caller leaves, when that value is lost, too. With the original goal, the lateness
+// that nothing can avert would count against every placement, and the request would not be sent even to idle engines. Load
+// pattern: the longest prompts of a burst, which cannot be read in time even by all the engines that may read one prompt
+// together.
 func (st *State) markLate(req *request) {
 	if req.late {
 		return
@@ -161,8 +167,8 @@
 	req.value *= 1 - st.tune.LateShare
 }
 
-// minReadTime is how long the prompt takes to read on as many engines as may read it together if these have nothing else
-// to do.
+// minReadTime is how long as many engines as may read the prompt together take to read it if they have nothing else to do.
+// It is 0 for a plain service.
 func (st *State) minReadTime(req *request) time.Duration {
 	svc := st.serviceOf(req.service)
 	if svc.engine == nil {
@@ -172,12 +178,13 @@
 	return duration(svc.engine.PrefillWork(req.Prompt, engines).AloneTime(svc.engine))
 }
 
-// retryAfter is when the caller of a refused request should retry, within the time for which callers wait when asked to.
-// It spreads the callers over the time in which the backlog falls, so that they do not return together.
+// retryAfter is how long the caller of a refused request should wait before it retries. It spreads the callers over the time
+// in which the backlog falls, so that they do not return together. It is bounded by Tuning.PatientShare of the time left,
+// since callers that are asked to wait longer do not.
 func (st *State) retryAfter(req *request) time.Duration {
 	after := busyRetryAfter + duration(st.meanBacklog(st.serviceOf(req.service))*1000) + time.Duration(st.random.Int64N(int64(retrySpread)))
-	longest := time.Duration(st.tune.PatientShare * float64(req.Deadline.Sub(st.now)))
-	return min(after, max(longest, time.Millisecond))
+	maxAfter := time.Duration(st.tune.PatientShare * float64(req.Deadline.Sub(st.now)))
+	return min(after, max(maxAfter, time.Millisecond))
 }
 
 // retrySpread is the time over which the retries of refused callers are spread at random.
--- a/internal/steer/retry.go
+++ b/internal/steer/retry.go
@@ -7,7 +7,7 @@
 	"dandelionsail.example/dandelionsail/pkg/decl"
 )
 
-// maxSends bounds the attempts of one request, including those that certainly did not run.
+// maxSends bounds the attempts of one request, including those in which it certainly did not run.
 const maxSends = 4
 
 func (st *State) attemptEnded(ev AttemptEnded) {
@@ -43,7 +43,7 @@
 	rep := st.atFault(req, ev.FaultyReplica)
 	switch ev.Result {
 	case ResultNotRun:
-		// A refusal that another replica caused names that one: a helper that is leaving or gone.
+		// If another replica caused the refusal, rep is that one: a helper that is leaving or gone.
 		if rep != req.reps[0] || st.hadRoom(rep, req) {
 			st.markDown(rep)
 		}
@@ -59,21 +59,21 @@
 	}
 }
 
-// markDown takes the replica out of rotation for a while. If it was in rotation here, the other instances are informed.
+// markDown makes the replica unusable for a while. If it was usable here, the other instances are informed.
 func (st *State) markDown(rep *replica) {
-	wasDown := !rep.usable(st.now)
+	wasUnusable := !rep.usable(st.now)
 	rep.failed(st.now)
-	if !wasDown {
+	if !wasUnusable {
 		st.emit(LogLine{Message: "replica avoided", Replica: rep.Name, Attempt: rep.failures})
 		st.emit(SendNote{Note: st.note(Note{Down: []string{rep.Name}})})
 	}
 }
 
 // hadRoom reports whether, as far as known here, the replica had a free slot and enough memory for the request that it
-// refused. Such a replica has to be marked down: if replicas are drained while the store is unavailable, their state does
-// not reach the instances. They refuse new requests at once, look idle and therefore best, and each request fails after
-// attempts at four of them. Where instances learn of only some of a plain replica's calls, a refusal proves nothing: the
-// replica may be full, and marking down one after the other would leave none.
+// refused. Such a replica has to be marked down: if replicas are drained while the store is unavailable, the instances do
+// not learn that they are leaving. They refuse new requests at once, look idle and therefore best, and each request would
+// fail after attempts at four of them (maxSends). Where instances learn of only some of a plain replica's calls, a refusal
+// proves nothing: the replica may be full, and marking down one after the other would leave none.
 func (st *State) hadRoom(rep *replica, req *request) bool {
 	if rep.freeSlots() <= 0 {
 		return false
@@ -85,17 +85,19 @@
 	return rep.free(eng) >= req.tokens()
 }
 
-// atFault returns the replica to blame for the end of the attempt: the one that answers, or the helper that at names.
-func (st *State) atFault(req *request, at string) *replica {
+// atFault returns the replica that accounts for the result of the attempt: the helper with the given name or address, or
+// else the replica that answers.
+func (st *State) atFault(req *request, nameOrAddress string) *replica {
 	for _, rep := range req.reps {
-		if at == rep.Name || at == rep.Address {
+		if nameOrAddress == rep.Name || nameOrAddress == rep.Address {
 			return rep
 		}
 	}
 	return req.reps[0]
 }
 
-// retry queues the request for another attempt if that is safe, within the limits and in time, and refuses it otherwise.
+// retry queues the request for another attempt after a failed one if mayRepeat allows it, the deadline has not passed and
+// the request is not in quarantine. Otherwise it refuses the request.
 func (st *State) retry(req *request, ev AttemptEnded) {
 	st.emit(LogLine{Message: "attempt failed: " + ev.Result.String(), Request: req.Name, Replica: req.reps[0].Name, Age: st.now.Sub(req.at), Attempt: req.attempt})
 	req.failureHeld = ev.Result == ResultAnswered || req.failureHeld
@@ -121,8 +123,8 @@
 	st.waiting = append(st.waiting, req)
 }
 
-// mayRepeat reports whether the request may be sent again: it certainly did not run, or its route declares that it may run
-// again. Retries are bounded by maxSends, the route's attempts and the budget that all instances share.
+// mayRepeat reports whether the request may be sent again: either it certainly did not run, or its route declares that
+// requests may run again. Repeats are bounded by maxSends, the route's attempts and the budget that all instances share.
 func (st *State) mayRepeat(req *request, ev AttemptEnded) bool {
 	if req.attempt >= maxSends || req.runs >= req.Route.Attempts {
 		return false
@@ -168,7 +170,7 @@
 // ledger counts this instance's requests and repeats for one service in a ring of time slots.
 type ledger struct {
 	slots [ledgerSlots]struct{ requests, repeats float64 }
-	// current is the number of the newest slot since the Unix epoch.
+	// current is the number of the newest slot, counted from the Unix epoch.
 	current int64
 }
 
@@ -185,7 +187,7 @@
 	return led
 }
 
-// advance clears the slots that are out of date and returns the index of the current one.
+// advance clears the slots that are out of date, makes that of now the current one and returns the index of the latter.
 func (led *ledger) advance(now time.Time, window time.Duration) int {
 	slot := now.UnixNano() / max(1, int64(window)/(ledgerSlots-1))
 	for ; led.current < slot; led.current++ {
@@ -204,7 +206,7 @@
 // takeRepeat charges one repeat to the budget and reports whether the budget allowed it. The slack is divided equally among
 // the live instances and one more, in case this instance does not know of one of them.
 func (led *ledger) takeRepeat(now time.Time, bud Budget, live int) bool {
-	at := led.advance(now, bud.Window)
+	currentIndex := led.advance(now, bud.Window)
 	var requests, repeats float64
 	for _, slot := range led.slots {
 		requests += slot.requests
@@ -213,7 +215,7 @@
 	if repeats+1 > budgetShare*(bud.Ratio*requests+bud.Slack/float64(live+1)) {
 		return false
 	}
-	led.slots[at].repeats++
+	led.slots[currentIndex].repeats++
 	return true
 }
 
--- a/internal/steer/serve.go
+++ b/internal/steer/serve.go
@@ -15,7 +15,7 @@
 	// drainRetryAfter is the RetryAfter of a caller whose instance shuts down. It is short since another instance can serve
 	// the retry.
 	drainRetryAfter = 20 * time.Millisecond
-	// notRunDelay is the delay before a request is sent again after a replica refused it.
+	// notRunDelay is the minimum delay before a request is sent again after a replica refused it.
 	notRunDelay = 20 * time.Millisecond
 )
 
@@ -81,8 +81,8 @@
 	st.announceStart(req, job)
 }
 
-// jobsPerRequest is how many jobs of one request have distinct IDs. Peers forget that an ID has ended before that many jobs
-// have passed, so an ID that is used again is not taken for the ended one.
+// jobsPerRequest is how many jobs of one request have distinct IDs. After that many jobs an ID is used again. By then, peers
+// have forgotten that it had ended, so they do not ignore the new job.
 const jobsPerRequest = 256
 
 // unbook removes the request's job from its replicas and announces its end.
@@ -129,15 +129,16 @@
 	// minProgressTimeout is the lower bound of both timeouts. It outlasts short freezes and the stall of an engine that waits
 	// for a dead helper.
 	minProgressTimeout = 1100 * time.Millisecond
-	// minSplitProgressTimeout is that bound for a prompt that several engines read.
+	// minSplitProgressTimeout is the lower bound for a prompt that several engines read.
 	minSplitProgressTimeout = 1900 * time.Millisecond
 )
 
-// progressTimeouts returns how long the answer may take to begin and how long it may pause.
+// progressTimeouts returns how long the answer may take to begin and how long it may then pause.
 func (st *State) progressTimeouts(req *request, pl *plan) (first, gap time.Duration) {
 	left := req.Deadline.Sub(st.now)
 	if !req.Route.Stream {
-		// A plain call may use its whole deadline. If the timeout fired first, a slow replica would count as failed.
+		// An answer that is not a stream may take until the deadline. If a timeout fired first, a slow replica would count
+		// as failed.
 		return left + time.Second, left + time.Second
 	}
 	shortest := minProgressTimeout
@@ -164,7 +165,7 @@
 }
 
 // progressed updates the pace and the passes of the replica: an engine sends all its events at the end of a pass, so each
-// event marks one.
+// event marks the end of one.
 func (st *State) progressed(ev Progressed) {
 	req, ok := st.requests[ev.ID]
 	if !ok || ev.Attempt != req.attempt || len(req.reps) == 0 {
@@ -200,13 +201,14 @@
 	}
 }
 
-// refuse ends a request that got no successful answer. A replica's error answer goes to the caller in place of the refusal.
-func (st *State) refuse(req *request, reason Reason, after time.Duration) {
+// refuse ends a request that got no successful answer. If a replica's error answer is held, the caller gets that in place of
+// the refusal.
+func (st *State) refuse(req *request, reason Reason, retryAfter time.Duration) {
 	if req.failureHeld {
 		st.finish(req, Finish{ID: req.ID, DeliverFailure: true}, "failure delivered")
 		return
 	}
-	refusal := &Refusal{Reason: reason, NotRun: req.runs == 0, RetryAfter: after}
+	refusal := &Refusal{Reason: reason, NotRun: req.runs == 0, RetryAfter: retryAfter}
 	st.emit(LogLine{Message: "request refused", Request: req.Name, Reason: reason, Age: st.now.Sub(req.at), Attempt: req.attempt, Tokens: req.Prompt, End: st.outcomeOf(req)})
 	st.finish(req, Finish{ID: req.ID, Refusal: refusal}, "")
 }
@@ -229,7 +231,8 @@
 	return end
 }
 
-// finish ends a request. Every admitted request passes through it exactly once.
+// finish ends a request. Every request passes through it exactly once, except those that are refused on arrival because of
+// quarantine.
 func (st *State) finish(req *request, fin Finish, message string) {
 	if message != "" {
 		st.emit(LogLine{Message: message, Request: req.Name, Age: st.now.Sub(req.at), Attempt: req.attempt, Tokens: req.Prompt, End: st.outcomeOf(req)})
--- a/internal/steer/state.go
+++ b/internal/steer/state.go
@@ -18,8 +18,8 @@
 	Seed uint64
 	// Budget bounds the repeated attempts of all instances together.
 	Budget Budget
-	// MissingTime is how long a replica stays in use that is missing from a list obtained after an outage of the list's
-	// store.
+	// MissingTime is how long a replica stays in use if it is missing from a list that was obtained after an outage of
+	// the list's store.
 	MissingTime time.Duration
 	// Tuning holds the weights of the placement policy; the zero value stands for DefaultTuning.
 	Tuning Tuning
@@ -42,7 +42,8 @@
 	waiting []*request
 	// claims holds the requests whose claim on a slot other instances may still contest.
 	claims []*request
-	peers  map[string]*peer
+	// peers holds, by name, what the notes of each other instance have reported.
+	peers map[string]*peer
 	// others lists the other live instances, sorted by name.
 	others []Instance
 	// otherNames lists the names of others, in the same order.
@@ -53,7 +54,7 @@
 	usersOf map[subset][]string
 	// outbox holds the note that is being batched for the users of each subset.
 	outbox map[subset]*pending
-	// flushAt is the time of the last requested wake-up that flushes the outbox.
+	// flushAt is the time of the wake-up that was last requested to flush the outbox.
 	flushAt time.Time
 	// allowance is the token bucket for messages to other instances.
 	allowance allowance
@@ -67,11 +68,11 @@
 	meanPrompts map[string]float64
 	// longestTimeouts holds the longest timeout that any caller has stated, by route.
 	longestTimeouts map[string]time.Duration
-	// missing holds, by name, when a replica that a possibly incomplete list left out is treated as gone.
+	// missing holds, by replica name, from when on a replica that a possibly incomplete list left out is treated as gone.
 	missing map[string]time.Time
-	// lastUnanswered holds, by name, when an instance last failed to answer a GrantRequest.
+	// lastUnanswered holds, by instance name, when an instance last failed to answer a GrantRequest.
 	lastUnanswered map[string]time.Time
-	// wakeAt is the time of the last wake-up that was requested for the waiting requests.
+	// wakeAt is the time of the wake-up that was last requested for the waiting requests.
 	wakeAt time.Time
 	// loadQueryAt is when the engines are queried for their load, zero before the first replica list.
 	loadQueryAt time.Time
@@ -97,7 +98,7 @@
 	layout *layout
 	// candidates caches the replicas of the subset that this instance uses, nil until they are computed.
 	candidates []*replica
-	// nextRetryAt is the retry time of the next caller that is refused because of the replicas' rate limits.
+	// nextRetryAt is the earliest retry time for the next caller that is refused because of the replicas' rate limits.
 	nextRetryAt time.Time
 }
 
@@ -107,15 +108,15 @@
 	service string
 	// at is the time of arrival.
 	at time.Time
-	// goal is when the answer should begin. A request that cannot meet it gets LeavesAt as the goal, see markLate.
+	// goal is when the answer should begin. For a late request it is LeavesAt instead, see markLate.
 	goal time.Time
-	// gap is the longest pause within a stream that the route promises.
+	// gap is the longest pause of a stream, as the route promises it.
 	gap time.Duration
 	// value is the utility of an answer that is in time; for a late request, of an answer at all.
 	value float64
 	// triedBefore reports whether the caller seems to have tried before, see detectRetry.
 	triedBefore bool
-	// late reports whether the original goal has passed or is out of reach.
+	// late reports whether the original goal has passed or is out of reach, see markLate.
 	late bool
 	// originalGoal is the original goal of a late request.
 	originalGoal time.Time
@@ -132,7 +133,7 @@
 	// jobs counts the jobs of the request so far.
 	jobs JobID
 	plan plan
-	// reps holds the replicas of the current or last job, the one that answers first.
+	// reps holds the replicas of the current or last job: at index 0 the one that answers, then the helpers.
 	reps []*replica
 	// reservations holds how many tokens of memory each helper reserves.
 	reservations []int64
@@ -154,15 +155,16 @@
 	disconnected bool
 	// aborted reports whether an Abort was emitted for the running attempt.
 	aborted bool
-	// failureHeld reports whether the shell holds a replica's failure answer that can be delivered.
+	// failureHeld reports whether the shell, which carries out the effects, holds a replica's error answer that can be
+	// delivered.
 	failureHeld bool
 	// waitingSince is when the request last began to wait for a replica: on arrival or after a failed attempt.
 	waitingSince time.Time
-	// notBefore is the earliest time of the next attempt, after a refusal or a withdrawn claim.
+	// notBefore is the earliest time of the next attempt after a replica refused the request or its claim was withdrawn.
 	notBefore time.Time
-	// grant is the requested or granted send to a rate-limited replica.
+	// grant is the requested or granted send to a rate-limited replica. Its rep is nil if there is none.
 	grant pendingGrant
-	// avoidUntil holds, by name, until when the request skips a rate-limited replica.
+	// avoidUntil holds, by replica name, until when the request skips a rate-limited replica.
 	avoidUntil map[string]time.Time
 }
 
@@ -250,8 +252,8 @@
 	st.emit(Wake{After: wakePeriod})
 }
 
-// wakePeriod is how often the waiting requests are dispatched: a tenth of the longest time that the shortest prompts have to
-// wait.
+// wakePeriod is the interval at which waiting requests are dispatched: a tenth of the longest time for which the shortest
+// prompts have to wait.
 const wakePeriod = 10 * time.Millisecond
 
 // Waiting reports how many requests wait for a replica.
