--- a/internal/steer/price.go
+++ b/internal/steer/price.go
@@ -15,9 +15,8 @@
 // of long prompts that all engines together could read, but not each of them in time, together with short ones that have
 // many times their value for each second of engine time.
 
-// Demand is what callers recently asked of the engines of all services, weighted by age. Refused requests count too.
-// Those with little value for each second of reading are refused first: without them the mean value, and with it the
-// price of engine time, would rise and so cause more refusals.
+// Demand is what callers recently asked of the engines of all services, weighted by age. Refused requests count too:
+// otherwise refusals would raise the price of engine time, and so cause more refusals.
 type Demand struct {
 	// Value is the sum of the values of the answers.
 	Value float32 `cbor:"1,keyasint,omitempty"`
