--- a/internal/steer/batch.go
+++ b/internal/steer/batch.go
@@ -14,29 +14,30 @@
 const (
 	// messageRate is how many messages a second an instance may send to others about its requests.
 	messageRate = 1000.0
-	// messageBurst is the time for which unused messages of that rate are kept.
+	// messageBurst is the time for which the allowance accumulates unused messages at that rate.
 	messageBurst = 100 * time.Millisecond
-	// maxBatchDelay is the longest delay of a start or a begin: a tenth of a second is less than a pass of a busy
-	// engine.
+	// maxBatchDelay is the longest delay of the change that a job starts or that its answer begins: a tenth of a second is
+	// less than a pass of a busy engine. It is also the longest delay of the end of a request where slots are scarce.
 	maxBatchDelay = 100 * time.Millisecond
 	// maxEndBatchDelay is the longest delay of the end of a request at engines with slots to spare.
 	maxEndBatchDelay = 250 * time.Millisecond
-	// maxLiveBeginAge is the highest age at which an answer's begin shows where its engine is in its passes.
+	// maxLiveBeginAge is the highest age of the begin of an answer, when the note arrives, at which it still shows where the
+	// engine is in its passes.
 	maxLiveBeginAge = sameBoundary
 	// maxBatchItems is the number of changes at which a note is sent without further delay, since it must fit into a
 	// datagram.
 	maxBatchItems = 40
 	// contendedSlots is the highest number of free slots of an engine at which a start there may be sent ahead of the
-	// allowance: other instances may take as many slots while it would be delayed.
+	// allowance: while the start was delayed, other instances might take that many slots.
 	contendedSlots = 5
 )
 
-// pending is the note for the users of one subset, sent at due.
+// pending is a note that collects changes for the users of one subset until due, when it is sent.
 type pending struct {
 	note Note
-	// jobsAt holds when each of the note's jobs was booked.
+	// jobsAt holds when each job in the note was booked, by its index in note.Jobs.
 	jobsAt []time.Time
-	// begunAt holds when each of the note's answers began.
+	// begunAt holds when each answer in note.Begun began.
 	begunAt []time.Time
 	due     time.Time
 }
@@ -59,7 +60,8 @@
 	al.at = now
 }
 
-// sendDelay is how long a change must wait until the allowance covers the users of the subset, at most maxDelay.
+// sendDelay returns how long a change must wait until the allowance covers a message to each other user of the subset, at
+// most maxDelay.
 func (st *State) sendDelay(sub subset, maxDelay time.Duration) time.Duration {
 	recipients := st.recipients(sub)
 	st.allowance.refill(st.now, recipients)
@@ -84,10 +86,10 @@
 	if req.claiming || st.readsAlone(req) {
 		maxDelay = 0
 	}
-	few := nearlyFull(req.reps[0])
+	urgent := nearlyFull(req.reps[0])
 	for _, sub := range st.audiences(req.reps) {
 		wait := st.sendDelay(sub, maxDelay)
-		if few && st.mayOverdraw() {
+		if urgent && st.mayOverdraw() {
 			wait = 0
 		}
 		pend := st.pendingFor(sub, wait)
@@ -96,16 +98,17 @@
 	}
 }
 
-// nearlyFull reports whether other instances might take the engine's last slots unless they learn at once which are
-// taken. Load pattern: streams concentrate on few engines, and many instances fill the same one at the same time;
-// requests beyond its slots wait there until an answer ends.
+// nearlyFull reports whether the engine has so few free slots that other instances might take all of them unless they learn
+// of each start at once. Load pattern: streams concentrate on few engines, and many instances fill the same one at the same
+// time; requests beyond its slots wait there until an answer ends.
 func nearlyFull(rep *replica) bool { return rep.freeSlots() <= contendedSlots }
 
 // mayOverdraw reports whether a change may be sent ahead of the allowance: only once the allowance has recovered from the
 // previous overdraft.
 func (st *State) mayOverdraw() bool { return st.allowance.messages >= 0 }
 
-// readsAlone reports whether the request's reading keeps other long reads off its engines.
+// readsAlone reports whether the request's part of the prompt at each engine is so long that it keeps other long reads off
+// the engine.
 func (st *State) readsAlone(req *request) bool {
 	return req.plan.part > st.tune.LongRead
 }
@@ -119,7 +122,8 @@
 	}
 }
 
-// announceEnded announces that the request's job has ended, sooner where slots are scarce and other instances wait for one.
+// announceEnded announces that the request's job has ended: for a withdrawn claim without delay, and where slots are scarce
+// sooner than elsewhere, since other instances may wait for one.
 func (st *State) announceEnded(req *request) {
 	maxDelay := maxEndBatchDelay
 	switch {
@@ -134,7 +138,8 @@
 	}
 }
 
-// scarce reports whether one of the replicas has few slots left or requests wait at this instance.
+// scarce reports whether slots are scarce: one of the replicas has at most scarceSlots free, or requests wait at this
+// instance.
 func (st *State) scarce(reps []*replica) bool {
 	for _, rep := range reps {
 		if rep.freeSlots() <= scarceSlots {
@@ -156,7 +161,7 @@
 	return subs
 }
 
-// pendingFor returns the note that goes to the users of the subset, to be sent within the time.
+// pendingFor returns the pending note for the users of the subset, and has it sent within the given time at the latest.
 func (st *State) pendingFor(sub subset, within time.Duration) *pending {
 	pend, ok := st.outbox[sub]
 	if !ok {
@@ -193,7 +198,8 @@
 	}
 }
 
-// withCurrentAges returns the note with its times as of now.
+// withCurrentAges returns the note with its times as of now. BegunAge is a single figure for all its answers: the age of the
+// oldest begin.
 func (st *State) withCurrentAges(pend *pending) Note {
 	nt := pend.note
 	for i := range nt.Jobs {
--- a/internal/steer/claim.go
+++ b/internal/steer/claim.go
@@ -14,8 +14,8 @@
 // by the content of the claims alone.
 
 const (
-	// scarceSlots is the maximum number of free slots of an engine at which a request must claim one. More are seldom taken
-	// within the time that a note takes to arrive.
+	// scarceSlots is the maximum number of free slots of an engine at which a request must claim one. More slots than these are
+	// seldom taken within the time that a note takes to arrive.
 	scarceSlots = 2
 	// claimDelay is how long a claim waits for competing claims: several times the delay of a note between two instances.
 	claimDelay = 4 * time.Millisecond
@@ -26,12 +26,12 @@
 	claimBackoff = 5 * time.Millisecond
 	// waitingAfter is the age from which a request counts as waiting in mayTakeSlot.
 	waitingAfter = 5 * time.Millisecond
-	// claimsPerSlot is the desired number of claims for each free slot. Fewer could leave the slot idle, and most of any
-	// more would be withdrawn.
+	// claimsPerSlot is the desired number of claims for each free slot. With fewer, the slot could stay idle; of more, most
+	// would be withdrawn.
 	claimsPerSlot = 2
 )
 
-// contested reports whether other instances may take the slot at the same moment.
+// contested reports whether other instances may take the slot of the plan's answering engine at the same moment.
 func (st *State) contested(pl *plan) bool {
 	first := pl.reps[0]
 	return st.live > 1 && st.services[first.Service].engine != nil && first.freeSlots() <= scarceSlots
@@ -82,6 +82,7 @@
 	if own < 0 {
 		return false
 	}
+	// Of the claims, the lowest in rank lose: the request wins if at least excess others rank below it.
 	outranked := 0
 	for i := range rep.works {
 		wk := &rep.works[i]
@@ -92,8 +93,8 @@
 	return outranked >= excess
 }
 
-// outranks reports whether claim a ranks before claim b. The order, by value and then by instance and job, is the same at
-// all instances.
+// outranks reports whether claim a ranks higher than claim b. The order, by value and then by instance and job, is the same
+// at all instances. Values are compared as float32, since notes carry them so.
 func (st *State) outranks(a, b *work) bool {
 	order := cmp.Or(
 		-cmp.Compare(float32(a.value), float32(b.value)),
@@ -103,7 +104,7 @@
 	return order < 0
 }
 
-// instanceOf returns the name of the instance that has the job.
+// instanceOf returns the name of the instance whose job the work is part of.
 func (st *State) instanceOf(wk *work) string {
 	if wk.key.from == "" {
 		return st.Options.Name
@@ -111,8 +112,8 @@
 	return wk.key.from
 }
 
-// mayTakeSlot reports whether the request, one of the given number that wait, may try to take a free slot of the replica
-// now. All instances learn of a freed slot at once, and all their waiting requests would claim it. So a waiting request
+// mayTakeSlot reports whether the request may try to take a free slot of the replica now, while the given number of requests
+// wait. All instances learn of a freed slot at once, and all their waiting requests would claim it. So a waiting request
 // tries with the probability that yields about claimsPerSlot claims for each free slot, and tries again at the next tick.
 // New requests always may.
 func (st *State) mayTakeSlot(rep *replica, req *request, waiting int) bool {
@@ -123,8 +124,8 @@
 	return wanted >= waiting || st.random.IntN(waiting) < wanted
 }
 
-// waitingRequests returns how many requests wait at the instances that use the same replicas. An instance from which no
-// note has arrived counts as one.
+// waitingRequests returns how many requests wait at the instances that use the same replicas. This instance counts for at
+// least one request, and one from which no note has arrived counts for one.
 func (st *State) waitingRequests(svc *service) int {
 	waiting := max(1, len(st.waiting))
 	for _, name := range st.othersUsing(st.ownSubset(svc)) {
--- a/internal/steer/grant.go
+++ b/internal/steer/grant.go
@@ -12,8 +12,8 @@
 // hashing of the replica's name, so no election is needed. It keeps a single schedule: a request for the replica asks for a
 // send, and the answer states when it may be sent or when to ask again. The capacity thus follows demand from one request to
 // the next, and the limit may be lower than the number of instances. Where instances disagree on which one grants, each of
-// the granting ones receives notes of the others' sends and counts them. An instance that reaches only some of the others
-// grants only their share of the limit.
+// the granting ones receives notes of the others' sends and counts them. An instance that receives notes from only some of
+// the others grants only the corresponding share of the limit.
 
 const (
 	// unresponsiveTime is how long an instance that did not answer is skipped when the granting instance is chosen.
@@ -24,14 +24,15 @@
 	// substituteShare is the part of the limit that a substitute grants until the instance that should grant is known to be
 	// gone. In a network partition that instance still grants the whole limit to its own side.
 	substituteShare = 0.25
-	// maxGrantDelay is the maximum time by which a send is granted in advance.
+	// maxGrantDelay is how far ahead of its time a send is granted at most.
 	maxGrantDelay = 4 * time.Second
 	// topValueTTL is how long the highest requested value restricts requests of lower value.
 	topValueTTL = 2 * time.Second
 	// maxTopGrants is the number of grants in a row to requests of the highest value after which a request of lower value
 	// may use the whole queue. Otherwise requests of low value would starve.
 	maxTopGrants = 4
-	// grantRetention is how long after its time a grant is kept, so that the note about its send is not counted again.
+	// grantRetention is how long a grant is kept after the time of its send, so that the note about the send does not count it
+	// again.
 	grantRetention = time.Second
 )
 
@@ -42,12 +43,12 @@
 	// AcceptedWaitMs is the longest wait in ms that the request accepts: slightly more than the estimate by which the
 	// replica was chosen.
 	AcceptedWaitMs int32 `cbor:"3,keyasint,omitempty"`
-	// MaxWaitMs is the longest wait in ms that makes sense: after more the request would be too late.
+	// MaxWaitMs is the longest wait in ms that makes sense: after a longer one the request would be too late.
 	MaxWaitMs int32 `cbor:"4,keyasint,omitempty"`
 	// Value is the value of the request.
 	Value float32 `cbor:"5,keyasint,omitempty"`
-	// Recent counts the sends of all instances within limitSpan that the asking instance knows of. The granting instance may
-	// know of fewer if it has just taken over or has lost notes.
+	// Recent counts the sends of all instances within the last limitSpan that the asking instance knows of. The granting
+	// instance may know of fewer if it has just taken over or if notes to it were lost.
 	Recent int `cbor:"6,keyasint,omitempty"`
 }
 
@@ -70,8 +71,8 @@
 
 func (gr *Grant) valid() bool { return gr.Replica != "" && gr.AfterMs >= 0 }
 
-// granters returns the subset whose users may grant sends to the replica: the instances that may use it.
-func (st *State) granters(rep *replica) subset {
+// grantingSubset returns the subset whose users may grant sends to the replica: the instances that may use it.
+func (st *State) grantingSubset(rep *replica) subset {
 	svc := st.serviceOf(rep.Service)
 	if svc.engine == nil {
 		return subset{}
@@ -85,7 +86,7 @@
 // firstGranter returns the highest-ranked instance that may grant sends to the replica. With skipUnresponsive,
 // instances that recently failed to answer are left out.
 func (st *State) firstGranter(rep *replica, skipUnresponsive bool) string {
-	sub := st.granters(rep)
+	sub := st.grantingSubset(rep)
 	best, highest := "", uint64(0)
 	consider := func(name string) {
 		if hash := xxhash.Sum64String(name + "/" + rep.Name); best == "" || hash > highest {
@@ -111,8 +112,9 @@
 	return first != st.Options.Name && live
 }
 
-// reachableShare returns the share of the registered instances in this instance's subsets from which notes arrive, itself
-// included. During a network partition an instance cannot know what the unreachable ones send.
+// reachableShare returns the share of the registered instances from which notes arrive, this one included. It counts the
+// other users of this instance's subsets, once for each service with engines. During a network partition an instance cannot
+// know what the unreachable ones send.
 func (st *State) reachableShare() float64 {
 	registered, reachable := 1, 1
 	for _, svc := range st.services {
@@ -139,8 +141,8 @@
 	return max(minRate, perS) * st.reachableShare()
 }
 
-// grant books a send if one is available within the accepted wait. It returns the time until the send or, if ok is false,
-// the time after which the request should ask again.
+// grant books a send if one is available within the wait that the request accepts and that its value allows. It returns the
+// time until the send or, if ok is false, the time after which the request should ask again.
 func (st *State) grant(rep *replica, key jobKey, gq *GrantRequest) (after time.Duration, ok bool) {
 	rl := rep.limit
 	if sendAt, known := rl.grants[key]; known {
@@ -157,6 +159,8 @@
 	if len(rep.sends) >= maxInSpan {
 		after = max(after, rep.sends[len(rep.sends)-maxInSpan].Add(limitSpan).Sub(st.now))
 	} else if gq.Recent >= maxInSpan {
+		// The asking instance knows of sends that were not counted here. It is unknown when they leave the window, so the
+		// delay is the interval between two sends.
 		after = max(after, duration(1000/perS))
 	}
 	value := float64(gq.Value)
@@ -164,6 +168,7 @@
 	if after > min(maxWait, time.Duration(gq.AcceptedWaitMs)*time.Millisecond) {
 		reserved.CancelAt(st.now)
 		if after <= maxWait {
+			// When the request asks again, it may accept this wait.
 			return after, false
 		}
 		rl.refusals++
@@ -181,8 +186,9 @@
 	return after, true
 }
 
-// maxDelayFor returns how far ahead a send for a request of the value may be granted. The far end of the queue is reserved
-// for the highest values. In order of arrival alone, many short requests would crowd out the few of higher value.
+// maxDelayFor returns how far ahead a send for a request of the value may be granted, and records the value if it is the
+// highest of the last topValueTTL. The far end of the queue is reserved for the highest values: if sends were granted in
+// order of arrival alone, many short requests would crowd out the few of higher value.
 func (rl *rateLimit) maxDelayFor(now time.Time, value float64) time.Duration {
 	if value >= rl.topValue || now.Sub(rl.topValueAt) > topValueTTL {
 		rl.topValue, rl.topValueAt = value, now
@@ -194,7 +200,7 @@
 	return time.Duration(value / rl.topValue * float64(maxGrantDelay))
 }
 
-// dropExpiredGrants drops expired grants for whose sends no note arrived, and expired entries of unresponsive instances.
+// dropExpiredGrants drops expired grants for whose sends no note arrived, and the expired entries of lastUnanswered.
 func (st *State) dropExpiredGrants() {
 	for name, at := range st.lastUnanswered {
 		if st.now.Sub(at) >= unresponsiveTime {
@@ -219,12 +225,14 @@
 		gq := &requests[i]
 		rep, ok := st.replicas[gq.Replica]
 		if !ok || rep.limit == nil && rep.limitEnded.IsZero() {
-			// The asking instance knows another incarnation of the replica. The next instance by rank may know it too.
+			// This instance does not know the replica, or not the incarnation whose limit the asking instance knows. For lack of
+			// an answer the asking one turns to the next instance by rank, which may know it.
 			continue
 		}
 		nt := Note{}
 		grant := Grant{Job: gq.Job, Replica: gq.Replica}
 		if rep.limit == nil {
+			// The limit has ended, so the request may be sent at once.
 			nt.Limits = []Limit{st.limitOf(rep)}
 		} else {
 			after, ok := st.grant(rep, jobKey{from, gq.Job}, gq)
--- a/internal/steer/grantrequest.go
+++ b/internal/steer/grantrequest.go
@@ -3,25 +3,29 @@
 import "time"
 
 // Requests for sends to rate-limited replicas. A request that is placed at a limited replica asks the granting instance for
-// a send. It waits for the granted time if that is early enough, and looks for another replica otherwise.
+// a send. If one is granted, it waits for the granted time. If it is refused, it looks for another replica.
 
 const (
 	// grantTimeout is how long to wait for the answer to a grant request: several round trips of a note.
 	grantTimeout = 30 * time.Millisecond
-	// grantTries is how often an instance is asked before it counts as unresponsive, since notes may be lost.
+	// grantTries is how often an instance is asked before it counts as unresponsive. One try is not enough, since notes may be
+	// lost.
 	grantTries = 3
 	// grantSlack is how much longer than the last estimate a request accepts to wait for the replica.
 	grantSlack = 50 * time.Millisecond
-	// grantValidity is how long after its time a grant may still be used. Without it, an instance that was frozen would send
-	// by an old grant.
+	// grantValidity is how long after the granted time the send may still go out. Without it, an instance that was frozen
+	// would send by an old grant.
 	grantValidity = 100 * time.Millisecond
-	// avoidTime is how long a request avoids a replica whose available sends are reserved for requests of higher value.
+	// avoidTime is how long a request avoids a replica at which the sends within its accepted wait are reserved for requests
+	// of higher value.
 	avoidTime = 100 * time.Millisecond
-	// maxRetryAfter is the longest time after which callers are asked to retry. Limits seldom stay the same for longer.
+	// maxRetryAfter is the longest time after which callers refused because of rate limits are asked to retry. Limits seldom
+	// stay the same for longer.
 	maxRetryAfter = 10 * time.Second
 )
 
-// pendingGrant is the send to a limited replica for which a request has asked, granted or not yet.
+// pendingGrant is the send to a limited replica for which a request has asked and which is not made yet, whether granted or
+// not.
 type pendingGrant struct {
 	// rep is nil if the request has asked for no send.
 	rep     *replica
@@ -33,7 +37,7 @@
 	// acceptedWait is the longest wait that the request accepts.
 	acceptedWait time.Duration
 	granted      bool
-	// sendAt is when the request may be sent.
+	// sendAt is when the request may be sent, if granted.
 	sendAt time.Time
 }
 
@@ -51,8 +55,8 @@
 	return req.grant.granted && req.grant.sendAt.Before(req.LeavesAt) && req.grant.sendAt.Before(req.Deadline)
 }
 
-// limitWait returns how long a request is likely to wait for a send to the replica. It returns false if that is too long or
-// if the request avoids the replica for now.
+// limitWait returns how long a request is likely to wait until it is granted a send to the replica. It returns false if that
+// is too long or if the request avoids the replica for now.
 func (st *State) limitWait(rep *replica, req *request) (time.Duration, bool) {
 	if rep.limit == nil {
 		return 0, true
@@ -64,8 +68,8 @@
 	return wait, wait == 0 || wait <= st.maxWait(req)
 }
 
-// requestGrant asks for a send to the replica. If this instance is the granting one, it decides at once and may send. The
-// result reports whether the request was sent.
+// requestGrant asks for a send to the replica. If this instance is the granting one, it decides at once: it may send the
+// request or, after a refusal, place it anew. The result reports whether the request was sent.
 func (st *State) requestGrant(req *request, rep *replica) bool {
 	st.nextJob(req)
 	req.grant = pendingGrant{rep: rep, job: req.job, granter: st.granter(rep), at: st.now, tries: 1}
@@ -114,9 +118,9 @@
 	req.grant = pendingGrant{}
 }
 
-// followGrant continues a request that has asked for a send. It is sent at the granted time. If no answer came, the grant
-// has expired or the replica is not limited or not usable any more, it is placed anew. The result reports whether the
-// request was sent.
+// followGrant continues a request that has asked for a send. The request is sent at the granted time. It is placed anew if
+// all tries stayed without an answer, if the grant has expired, if the replica has no room, or if the replica is no longer
+// limited or no longer usable. The result reports whether the request was sent.
 func (st *State) followGrant(req *request) bool {
 	pg := &req.grant
 	switch {
@@ -162,7 +166,8 @@
 			continue
 		}
 		if st.now.Sub(req.grant.at) > grantTries*grantTimeout {
-			// This instance was frozen in the meantime, so the time of the grant has passed.
+			// This instance was frozen after it asked. The granted time counts from when the answer was sent, so it may have
+			// passed.
 			continue
 		}
 		st.applyGrant(req, time.Duration(grant.AfterMs)*time.Millisecond, !grant.Refused)
@@ -178,8 +183,8 @@
 	return held
 }
 
-// blockedUntil returns when the first of the service's replicas is likely to accept the request. held is true only if all
-// usable replicas are limited and none is likely to accept the request within the time that it may wait.
+// blockedUntil returns when the first of the service's replicas is likely to accept the request. It reports the request as
+// held, and returns a time, only if all usable replicas are limited and none is likely to accept it within its maxWait.
 func (st *State) blockedUntil(req *request) (first time.Time, held bool) {
 	if req.grant.rep != nil {
 		return time.Time{}, false
@@ -202,8 +207,9 @@
 	return first, !first.IsZero()
 }
 
-// retryAfterLimit returns the time after which a caller that was refused because of rate limits should retry. It spaces the
-// callers evenly, at this instance's share of the sum of the limits, so that the replicas can accept them when they return.
+// retryAfterLimit returns the time after which a caller that was refused because of rate limits should retry: not before
+// first, but at the latest after maxRetryAfter. It spaces the retries evenly, at this instance's share of the sum of the
+// limits, so that the replicas can accept the requests when the callers return.
 func (st *State) retryAfterLimit(req *request, first time.Time) time.Duration {
 	svc := st.serviceOf(req.service)
 	perS := 0.0
--- a/internal/steer/limit.go
+++ b/internal/steer/limit.go
@@ -18,7 +18,7 @@
 const (
 	// limitSpan is the sliding window over which sends are counted. Sends from before the limit was received count too.
 	limitSpan = 4 * time.Second
-	// limitBurst is the size of the token bucket: how many unused sends may go at once.
+	// limitBurst is the size of the token bucket: how many sends that were not used earlier may go at once.
 	limitBurst = 2
 	// minRate replaces any lower limit, in requests a second. A replica that receives no requests sends no answers, so it
 	// could never announce that its limit has ended.
@@ -32,8 +32,8 @@
 	limitProbeAge = 2 * time.Second
 	// limitProbeBonus is the bonus in value that placement gives to such a check.
 	limitProbeBonus = 0.5
-	// limitAnnounceInterval is the minimum time between two notes to all about a limit that changes. The periodic summaries
-	// carry the changes in between.
+	// limitAnnounceInterval is the minimum time between two notes to all users of a replica about changes of its limit.
+	// Grant requests carry the changes in between to the granting instance, and its periodic summaries to the others.
 	limitAnnounceInterval = 200 * time.Millisecond
 	// maxPerS is the highest rate, in requests a second, that is accepted in a note from the network.
 	maxPerS = 1e6
@@ -47,12 +47,12 @@
 	reportedAt time.Time
 	// announced is when this instance last sent the limit to all others.
 	announced time.Time
-	// availableAt is when the next send is likely to be granted, by the newest answer of the granting instance.
+	// availableAt is when a send is next likely to be granted, by the newest refusal of the granting instance.
 	availableAt time.Time
 	// bucket paces the sends that this instance grants. Only the granting instance uses it.
 	bucket *rate.Limiter
-	// grants holds the time at which each granted job may be sent. These sends are already counted. Only the granting
-	// instance uses it.
+	// grants holds the time at which each granted job of another instance may be sent. These sends are already counted. Only
+	// the granting instance uses it.
 	grants map[jobKey]time.Time
 	// topValue is the highest value among the recent grant requests.
 	topValue float64
@@ -62,7 +62,7 @@
 	topGrants int
 	// refusals counts the grant requests refused since the last grant because no send was available in time at all.
 	refusals int
-	// used counts the sends of this instance since the limit was stated.
+	// used counts the sends of this instance, without memory reservations, since it learnt that the replica has a limit.
 	used int64
 }
 
@@ -96,14 +96,16 @@
 		}
 		return
 	}
-	stale := rep.limit != nil && st.now.Sub(rep.limit.reportedAt) >= limitProbeAge/2
+	wasOld := rep.limit != nil && st.now.Sub(rep.limit.reportedAt) >= limitProbeAge/2
 	changed := st.updateLimit(rep, ev.PerS, st.now)
 	switch {
 	case rep.limit == nil:
+		// updateLimit rejected the stated limit.
 	case changed && st.now.Sub(rep.limit.announced) >= limitAnnounceInterval:
 		rep.limit.announced = st.now
 		st.sendLimit(rep, st.limitOf(rep), true)
-	case stale:
+	case wasOld:
+		// The granting instance repeats the renewed limit to the others in its summaries.
 		st.sendLimit(rep, st.limitOf(rep), false)
 	}
 }
@@ -131,8 +133,9 @@
 	return true
 }
 
-// endLimit drops the limit if the request whose answer stated none was sent after the last answer that stated one arrived.
-// Answers on different connections can overtake each other, so an older answer must not end the limit.
+// endLimit drops the limit after an answer that stated none. sent is when the request of that answer was sent: if the newest
+// answer that stated a limit arrived later, the limit stays. Answers on different connections can overtake each other, so an
+// older answer must not end the limit. The result reports whether the limit was dropped.
 func (st *State) endLimit(rep *replica, sent time.Time) bool {
 	if rep.limit == nil || !sent.After(rep.limit.reportedAt) {
 		return false
@@ -156,12 +159,14 @@
 	return millis(min(max(0, st.now.Sub(at)), maxLimitAge))
 }
 
-// maxLimitAge caps the age of a limit in a note. The cap is harmless, since recipients hold no information that is older.
+// maxLimitAge caps the age of a limit in a note. An older limit thus looks newer than it is, which is harmless, since
+// recipients hold no information that is older than the cap.
 const maxLimitAge = time.Hour
 
-// sendLimit sends the limit to all instances that may use the replica, or only to the one that grants sends to it.
+// sendLimit sends the limit to all other instances that may use the replica or, without all, only to the one that grants
+// sends to it.
 func (st *State) sendLimit(rep *replica, lim Limit, all bool) {
-	to := st.usersUnlessAll(st.granters(rep))
+	to := st.usersUnlessAll(st.grantingSubset(rep))
 	if !all {
 		granter := st.granter(rep)
 		if granter == st.Options.Name {
@@ -178,7 +183,7 @@
 	limits := map[subset][]Limit{}
 	for _, rep := range st.limitedReplicas() {
 		if st.granter(rep) == st.Options.Name {
-			sub := st.granters(rep)
+			sub := st.grantingSubset(rep)
 			limits[sub] = append(limits[sub], st.limitOf(rep))
 		}
 	}
@@ -215,7 +220,8 @@
 	st.updateLimit(rep, lim.PerS, at)
 }
 
-// recordSend counts a request that reaches the replica at the given time, which is in the future for a granted send.
+// recordSend counts a request that reaches the replica at the time at, which is in the future for a granted send. It forgets
+// the sends that are older than limitSpan.
 func (rep *replica) recordSend(now, at time.Time) {
 	expired := 0
 	for expired < len(rep.sends) && now.Sub(rep.sends[expired]) >= limitSpan {
@@ -269,13 +275,14 @@
 	}
 }
 
-// countPeerSend counts what another instance's job sends to the replica at index idx of the job.
+// countPeerSend counts what another instance's job sends to the replica, the one at index idx of the job's replicas.
 func (st *State) countPeerSend(rep *replica, key jobKey, job *Job, idx int) {
 	if isLoadReport(key.from) {
 		return
 	}
 	if rep.limit != nil && idx == 0 {
 		if _, ok := rep.limit.grants[key]; ok {
+			// The send was counted when it was granted.
 			delete(rep.limit.grants, key)
 			return
 		}
@@ -293,7 +300,7 @@
 	PerS    float64
 	// Recent counts the sends of all instances within the last limitSpan, as far as they are known here.
 	Recent int
-	// Used counts the sends of this instance since the limit was stated.
+	// Used counts the sends of this instance, without memory reservations, since it learnt that the replica has a limit.
 	Used int64
 }
 
