--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -68,8 +68,8 @@
 	pollers int
 	// nextFallback is the earliest time at which this Instance polls the store itself although it is not a poller.
 	nextFallback time.Time
-	// refusedAt is when a read of the configuration from the store last failed and a peer was asked for it instead.
-	refusedAt time.Time
+	// routingFailedAt is when a read of the configuration from the store last failed and a peer was asked for it instead.
+	routingFailedAt time.Time
 }
 
 func (fl *follower) run(ctx context.Context) error {
--- a/internal/relay/share.go
+++ b/internal/relay/share.go
@@ -82,7 +82,7 @@
 // from the Instance that announced it. That Instance is asked first while the store rejects this one. from is nil if
 // the store itself announced the revision.
 func (fl *follower) routingAt(ctx context.Context, from *net.UDPAddr, revision int64) (*decl.Routing, error) {
-	if from != nil && time.Since(fl.refusedAt) < refusalCooldown {
+	if from != nil && time.Since(fl.routingFailedAt) < refusalCooldown {
 		if routing, err := fl.in.fetchRouting(ctx, from, revision); err == nil {
 			return routing, nil
 		}
@@ -94,7 +94,7 @@
 	if err == nil || from == nil {
 		return routing, err
 	}
-	fl.refusedAt = time.Now()
+	fl.routingFailedAt = time.Now()
 	fl.in.log.Info().Err(err).Int64("Revision", revision).Msg("reading the configuration from the store failed; fetching it from the instance that announced it")
 	return fl.in.fetchRouting(ctx, from, revision)
 }
--- a/internal/steer/grantrequest.go
+++ b/internal/steer/grantrequest.go
@@ -50,8 +50,8 @@
 	return max(0, req.goal.Sub(st.now)-time.Duration(st.tune.LateGoalShare*float64(req.Route.Goal.Std())))
 }
 
-// hasTurn reports whether the request was granted a send early enough that its caller will still be waiting.
-func (req *request) hasTurn() bool {
+// hasTimelyGrant reports whether the request was granted a send early enough that its caller will still be waiting.
+func (req *request) hasTimelyGrant() bool {
 	return req.grant.granted && req.grant.sendAt.Before(req.LeavesAt) && req.grant.sendAt.Before(req.Deadline)
 }
 
@@ -129,7 +129,7 @@
 		return false
 	case pg.granted && st.now.Sub(pg.sendAt) <= grantValidity:
 		if pl, ok := st.placeAt(req, pg.rep); ok {
-			st.bookGranted(req, pl)
+			st.bookCurrentJob(req, pl)
 			st.send(req)
 			req.grant = pendingGrant{}
 			return true
--- a/internal/steer/peer.go
+++ b/internal/steer/peer.go
@@ -95,7 +95,7 @@
 func (st *State) sendSummary(sub subset, kept []JobID, jobs []Job) {
 	to := st.usersUnlessAll(sub)
 	first := min(len(jobs), maxSummaryJobs)
-	st.emit(SendNote{Note: st.note(Note{Full: true, OpenJobs: kept, Jobs: jobs[:first], Demand: st.demand.decayed(st.now)}), To: to})
+	st.emit(SendNote{Note: st.note(Note{Full: true, OpenJobs: kept, Jobs: jobs[:first], Demand: st.demand.decay(st.now)}), To: to})
 	for part := range slices.Chunk(jobs[first:], maxSummaryJobs) {
 		st.emit(SendNote{Note: st.note(Note{Jobs: part}), To: to})
 	}
--- a/internal/steer/price.go
+++ b/internal/steer/price.go
@@ -70,8 +70,8 @@
 	at time.Time
 }
 
-// decayed changes the meter: it lets the demand decay up to now, and returns it.
-func (mt *demandMeter) decayed(now time.Time) Demand {
+// decay changes the meter: it lets the demand decay up to now, and returns it.
+func (mt *demandMeter) decay(now time.Time) Demand {
 	if !mt.at.IsZero() {
 		keep := float32(math.Exp(-now.Sub(mt.at).Seconds() / demandTimeConstant.Seconds()))
 		mt.Value *= keep
@@ -85,7 +85,7 @@
 // recordDemand adds the request's prompt to the demand. It is called at the caller's first try only.
 func (st *State) recordDemand(eng *decl.Engine, req *request) {
 	reading := eng.PrefillWork(req.Prompt, 1).AloneTime(eng) / 1000
-	st.demand.decayed(st.now)
+	st.demand.decay(st.now)
 	st.demand.Demand = st.demand.plus(Demand{
 		Value: float32(req.value), Reading: float32(reading), WeightedGoal: float32(reading * req.Route.Goal.Std().Seconds()),
 	})
@@ -94,9 +94,9 @@
 // sumPeerDemand adds up the demand at the other instances in the order of their names: in another order the rounding would
 // differ, and what an instance does must follow from its events alone.
 func (st *State) sumPeerDemand() {
-	st.othersDemand = Demand{}
+	st.peerDemand = Demand{}
 	for _, from := range slices.Sorted(maps.Keys(st.peers)) {
-		st.othersDemand = st.othersDemand.plus(st.peers[from].demand)
+		st.peerDemand = st.peerDemand.plus(st.peers[from].demand)
 	}
 }
 
@@ -112,7 +112,7 @@
 
 // pricesOf returns the prices for the service, from its own backlog and the demand for all services.
 func (st *State) pricesOf(svc *service) prices {
-	dm := st.demand.decayed(st.now).plus(st.othersDemand)
+	dm := st.demand.decay(st.now).plus(st.peerDemand)
 	valuePerReading := dm.valuePerReading()
 	return prices{
 		idle:    valuePerReading * st.tune.TimeShare,
--- a/internal/steer/queue.go
+++ b/internal/steer/queue.go
@@ -85,7 +85,7 @@
 			draining = append(draining, req)
 		case !st.now.Before(req.Deadline) || !req.begun && !st.now.Before(req.LeavesAt) || st.waitedTooLong(req):
 			expired = append(expired, req)
-		case req.hasTurn():
+		case req.hasTimelyGrant():
 			// It keeps waiting, since it was granted a send in time.
 		case req.attempt == 0 && !req.triedBefore && st.outOfTime(req):
 			outOfTime = append(outOfTime, req)
--- a/internal/steer/serve.go
+++ b/internal/steer/serve.go
@@ -61,7 +61,7 @@
 // book reserves the request's place at the replicas of the plan and announces it to the other instances.
 func (st *State) book(req *request, pl plan) {
 	st.nextJob(req)
-	st.bookGranted(req, pl)
+	st.bookCurrentJob(req, pl)
 }
 
 // nextJob assigns the ID of the request's next job.
@@ -70,8 +70,8 @@
 	req.job = JobID(req.ID)*jobsPerRequest + req.jobs%jobsPerRequest
 }
 
-// bookGranted books the plan under the current job ID, which a GrantRequest may already have used.
-func (st *State) bookGranted(req *request, pl plan) {
+// bookCurrentJob books the plan under the current job ID, which a GrantRequest may already have used.
+func (st *State) bookCurrentJob(req *request, pl plan) {
 	req.plan = pl
 	req.reps = append(req.reps[:0], pl.reps...)
 	req.reservations = append(req.reservations[:0], pl.reservations...)
--- a/internal/steer/state.go
+++ b/internal/steer/state.go
@@ -82,10 +82,10 @@
 	drain *Draining
 	// demand measures what callers request from the engines through this instance.
 	demand demandMeter
-	// othersDemand is the sum of what the other instances announced, as of this instance's last summary.
-	othersDemand Demand
-	random       *rand.Rand
-	effects      []Effect
+	// peerDemand is the sum of what the other instances announced, as of this instance's last summary.
+	peerDemand Demand
+	random     *rand.Rand
+	effects    []Effect
 }
 
 // service is the pool of replicas of one service.
